--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -116,7 +116,7 @@
 	peerSide *http.Server
 	meter    *metrics.Meter
 	// picture is the last one; the follower's lock guards it.
-	picture proxy.Picture
+	picture proxy.Snapshot
 }
 
 func runSidecar(path string, s platform.Settings, options sidecarOptions) error {
@@ -170,7 +170,7 @@
 		PeerAddress:   func(target string) string { return peerAddress(follow.HostOf(target)) },
 		InForceWithin: inForceWithin(s),
 		FirstStart:    s.FirstStart,
-		Greet:         c.proxy.Greet,
+		Greet:         c.proxy.Ping,
 	}, platform.NewStore(s.StoreAddress, logger), feedws.NewClient(feedTransport(), c.crashes, c.proxy.CountSent), wallClock{}, logger, c.meter, c.takeView)
 	c.callers = callerhttp.NewServer(c.proxy, callerhttp.Limits{HeaderBytes: mostHeaderBytes, BodyBytes: mostBodyBytes})
 	c.peerSide = c.newPeerSide(peerAddress)
@@ -181,9 +181,9 @@
 	return proxy.Config{
 		Headers: platform.Headers(), FailureDomain: s.FailureDomain, Region: s.Region, Regions: s.Regions,
 		TargetAddress: s.TargetAddress, PeerPort: s.PeerPort,
-		RepeatRatio: s.RepeatRatio, RepeatFew: s.RepeatFew, RepeatWindow: s.RepeatWindow,
+		RetryRatio: s.RepeatRatio, RetrySlack: s.RepeatFew, RetryWindow: s.RepeatWindow,
 		HalfBytes: options.halfBytes, LinkRate: s.LinkRate,
-		DrainWork: follow.DrainWork(inForceWithin(s)), Seed: uint64(time.Now().UnixNano()),
+		DrainGrace: follow.DrainWork(inForceWithin(s)), Seed: uint64(time.Now().UnixNano()),
 	}
 }
 
--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -32,16 +32,16 @@
 func (c *sidecar) takeView(view *mesh.View) {
 	c.meter.Set(port.MetricConfigVersion, "", float64(view.Version()))
 	picture := c.picture
-	if picture.Members != view.MembersChange() {
+	if picture.MembersVersion != view.MembersChange() {
 		picture = c.pictureOfMembers(view)
 	}
 	picture.Table = view.Table()
 	c.picture = picture
-	c.proxy.SetPicture(&picture)
+	c.proxy.SetSnapshot(&picture)
 }
 
-func (c *sidecar) pictureOfMembers(view *mesh.View) proxy.Picture {
-	picture := proxy.Picture{Services: view.Takers(), Own: view.At(c.settings.TargetAddress), Members: view.MembersChange()}
+func (c *sidecar) pictureOfMembers(view *mesh.View) proxy.Snapshot {
+	picture := proxy.Snapshot{Services: view.Takers(), Local: view.At(c.settings.TargetAddress), MembersVersion: view.MembersChange()}
 	hosts := make(map[string]bool, len(view.Members()))
 	for _, member := range view.Members() {
 		hosts[follow.HostOf(member.Address)] = true
@@ -69,7 +69,7 @@
 	c.peers.CloseIdle(now)
 	c.target.CloseIdle(now)
 	c.closeOverdue(now)
-	c.proxy.TellLeftOut()
+	c.proxy.LogDroppedLines()
 	if lines := c.output.TakeDropped(); lines > 0 {
 		c.meter.Count(port.MetricLinesDropped, "output", int(lines))
 		c.log.Warn().Str(logfield.Kind, "output").Int64(logfield.Lines, lines).Msg("lines dropped")
@@ -81,7 +81,7 @@
 	running, waiting := c.proxy.Counts()
 	c.meter.Set(port.MetricSlotsRunning, "", float64(running))
 	c.meter.Set(port.MetricQueueWaiting, "", float64(waiting))
-	c.meter.Set(port.MetricRequestsOpen, "", float64(c.proxy.Open()))
+	c.meter.Set(port.MetricRequestsOpen, "", float64(c.proxy.InFlight()))
 	c.meter.Set(port.MetricLinkWait, "", c.proxy.LinkWait().Seconds())
 	c.meter.Set(port.MetricViewAge, "", c.follower.Age().Seconds())
 }
--- a/cmd/tamarackd/sidecar_stop.go
+++ b/cmd/tamarackd/sidecar_stop.go
@@ -22,17 +22,17 @@
 // and ends connections politely once their last answer is out.
 func (c *sidecar) stop() {
 	begin := time.Now()
-	c.log.Info().Int64("open", c.proxy.Open()).Msg("stopping")
+	c.log.Info().Int64("open", c.proxy.InFlight()).Msg("stopping")
 	endsBy := begin.Add(c.settings.Grace - killMargin)
 	c.proxy.Stop(endsBy)
 	wait.Sleep(context.Background(), takeOut)
-	c.proxy.StopOwn()
+	c.proxy.StopLocal()
 	if err := c.callers.StopAccepting(); err != nil {
 		c.log.Warn().Err(err).Msg("callers' listener")
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), endsBy)
 	defer cancel()
-	for c.proxy.Open() > 0 && wait.Sleep(ctx, stopPoll) {
+	for c.proxy.InFlight() > 0 && wait.Sleep(ctx, stopPoll) {
 	}
 	if err := c.callers.CloseIdle(); err != nil {
 		c.log.Warn().Err(err).Msg("idle connections closed without an answer")
--- a/internal/adapter/feedws/feedws.go
+++ b/internal/adapter/feedws/feedws.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return nil, nil, causeOf(ctx, err)
 	}
-	raw, err := io.ReadAll(&wait.Progress{From: reader, Timer: silent, Silence: silence})
+	raw, err := io.ReadAll(&wait.IdleReader{Source: reader, Timer: silent, IdleTimeout: silence})
 	if err != nil {
 		return nil, nil, causeOf(ctx, err)
 	}
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -157,7 +157,7 @@
 // would get no answer though other targets have one. The last attempt, and each
 // attempt that can't be made again, may take all that is left.
 func (f *flight) attemptDeadline(now time.Time, number int) time.Time {
-	if !f.route.Idempotent || number+1 >= f.node.config.MaxAttempts || !f.body.Again() {
+	if !f.route.Idempotent || number+1 >= f.node.config.MaxAttempts || !f.body.Rewind() {
 		return f.call.Deadline
 	}
 	return now.Add(f.call.Deadline.Sub(now) / 2)
@@ -188,7 +188,7 @@
 		// now on. So few requests meet this refusal that it needs no budget,
 		// and a planned stop costs no caller its answer.
 		t.avoid(now)
-		return f.body.Again()
+		return f.body.Rewind()
 	case port.ReasonUnreachable:
 		f.failed(now, t)
 	case port.ReasonQueueFull, port.ReasonBusy, port.ReasonShed, port.ReasonLimit:
@@ -201,7 +201,7 @@
 
 // again takes a retry out of the service's budget.
 func (f *flight) again() bool {
-	if !f.body.Again() || !f.upstreams.withdraw() {
+	if !f.body.Rewind() || !f.upstreams.withdraw() {
 		return false
 	}
 	f.node.ports.Meter.Count(port.MetricRetries, f.route.Name, 1)
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -17,7 +17,7 @@
 
 // probing reports whether the next offer is a probe. A body that may be read in
 // part by a busy target, and can't be sent again then, is not risked on one.
-func (f *flight) probing() bool { return len(f.probed) < maxProbes && f.body.IsKept() }
+func (f *flight) probing() bool { return len(f.probed) < maxProbes && f.body.IsBuffered() }
 
 // chooseProbe returns the target of the next offer, and whether it is a probe.
 // A target that had no free slot is not probed again, but may be waited at: its
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -268,7 +268,7 @@
 // A large body is offered elsewhere only while not a byte of it was read, and
 // an attempt that is over can read nothing of it any more.
 func TestLargeBodyIsHandedOnUnread(t *testing.T) {
-	large := bytes.Repeat([]byte("x"), 2*requestbody.KeptBytes)
+	large := bytes.Repeat([]byte("x"), 2*requestbody.MaxBufferedBytes)
 	for _, read := range []bool{false, true} {
 		owners := &fakeOwners{}
 		var first io.Reader
@@ -433,7 +433,7 @@
 // would file half of it. Large bodies are not sent on probes, and a body that
 // was read can't be read again.
 func TestHalfABodyIsNeverOffered(t *testing.T) {
-	large := strings.Repeat("x", 2*requestbody.KeptBytes)
+	large := strings.Repeat("x", 2*requestbody.MaxBufferedBytes)
 	owners := &fakeOwners{}
 	owners.answer = func(_ context.Context, _ int, _ membership.VM, call *port.Call) (*port.Answer, error) {
 		if call.NoWait {
--- a/internal/proxy/choose_test.go
+++ b/internal/proxy/choose_test.go
@@ -34,7 +34,7 @@
 			FailureDomain: fmt.Sprint("d", i%9), Slots: 9, State: mesh.Ready,
 		}})
 	}
-	p.SetPicture(&Picture{Services: map[string][]*mesh.Member{"s": members}, Nodes: targets})
+	p.SetSnapshot(&Snapshot{Services: map[string][]*mesh.Member{"s": members}, Nodes: targets})
 	route := testRoute("/idempotent/", mesh.Idempotent)
 	return &flight{proxy: p, route: &route, service: "s", tried: map[string]bool{}, first: time.Now(), deadline: time.Now().Add(time.Minute)}
 }
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -141,10 +141,10 @@
 // not to blame then.
 func (p *Proxy) staying() *mesh.Member {
 	picture := p.picture.Load()
-	if picture == nil || picture.Own == nil || !picture.Own.DrainingSince.IsZero() || !picture.Own.UsableUntil.IsZero() {
+	if picture == nil || picture.Local == nil || !picture.Local.DrainingSince.IsZero() || !picture.Local.UsableUntil.IsZero() {
 		return nil
 	}
-	return picture.Own
+	return picture.Local
 }
 
 func (p *Proxy) tellCrash(own *mesh.Member, c *quarantine.Crash) {
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -160,7 +160,7 @@
 		}, false, 0},
 		{"an answer breaks off", func(*fleet) func(http.ResponseWriter, *http.Request) {
 			return func(w http.ResponseWriter, _ *http.Request) {
-				w.Header().Set(headers.Proof, "proof")
+				w.Header().Set(headers.Signature, "proof")
 				w.Header().Set("Content-Length", "100")
 				_, _ = w.Write([]byte("half"))
 			}
@@ -175,10 +175,10 @@
 			f.targets[0].serve = test.serve(f)
 			if test.leave {
 				picture := *p.picture.Load()
-				own := *picture.Own
+				own := *picture.Local
 				own.DrainingSince = time.Now()
-				picture.Own = &own
-				p.SetPicture(&picture)
+				picture.Local = &own
+				p.SetSnapshot(&picture)
 			}
 			f.ask(0, "POST", "/once/x", "filing")
 			waitFor(t, "the target is looked at", func() bool {
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -124,7 +124,7 @@
 // overflow a time, and its caller would count as gone.
 const maxCallerWait = 24 * time.Hour
 
-func (p *Proxy) pickService(picture *Picture, route *mesh.Route) string {
+func (p *Proxy) pickService(picture *Snapshot, route *mesh.Route) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.splitter.Pick(picture.Table.Config, route)
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -25,7 +25,7 @@
 // headers are the names that the tests' callers and targets use.
 var headers = Headers{
 	RequestID: "X-Id", Deadline: "X-Deadline-Ms", ExpectedTarget: "X-Expected", CallerService: "X-Caller",
-	Proof: "X-Proof", DidNotRun: "X-Did-Not-Run", Load: "X-Load",
+	Signature: "X-Proof", NotExecuted: "X-Did-Not-Run", Load: "X-Load",
 }
 
 // testDrainWork is the fleet's setting; a request is much quicker.
@@ -58,14 +58,14 @@
 // runs answers as a target that ran the request.
 func (s *testTarget) runs(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	w.Header().Set(headers.Proof, "proof")
+	w.Header().Set(headers.Signature, "proof")
 	fmt.Fprintf(w, "%s ran %s %s", s.id, r.URL, body)
 }
 
 // sheds answers as a target that turns the request away.
 func sheds(load string) func(w http.ResponseWriter, r *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(headers.DidNotRun, "1")
+		w.Header().Set(headers.NotExecuted, "1")
 		w.Header().Set(headers.Load, load)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -129,7 +129,7 @@
 	options := exchange.Options{DialTimeout: 150 * time.Millisecond, IdleTimeout: time.Second, SilenceTimeout: time.Second, MaxIdle: 8}
 	p := New(Config{
 		Headers: headers, FailureDomain: "a", Region: "r", Regions: map[string]string{"a": "r"},
-		TargetAddress: members[i].Address, PeerPort: peers.Addr().(*net.TCPAddr).Port, RepeatRatio: 0.2, RepeatFew: 100, DrainWork: testDrainWork, Seed: uint64(i),
+		TargetAddress: members[i].Address, PeerPort: peers.Addr().(*net.TCPAddr).Port, RetryRatio: 0.2, RetrySlack: 100, DrainGrace: testDrainWork, Seed: uint64(i),
 	}, Ports{
 		Clock: wallClock{}, Peers: exchange.NewPool(options), Target: exchange.NewPool(options),
 		Log: &log.Logger{
@@ -138,7 +138,7 @@
 		}, Meter: metrics.New(),
 	})
 	p.SetService("caller-service")
-	p.SetPicture(&Picture{Table: f.table, Services: map[string][]*mesh.Member{"s": members}, Own: members[i], Nodes: len(members)})
+	p.SetSnapshot(&Snapshot{Table: f.table, Services: map[string][]*mesh.Member{"s": members}, Local: members[i], Nodes: len(members)})
 	serveUntilEnd(t, peers, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != PingPath {
 			p.ServePeer(w, r)
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -21,7 +21,7 @@
 // flight is one caller's request with the attempts made for it.
 type flight struct {
 	proxy    *Proxy
-	picture  *Picture
+	picture  *Snapshot
 	route    *mesh.Route
 	service  string
 	began    time.Time
@@ -156,7 +156,7 @@
 // read buffers the answer and checks that a target made it.
 func (f *flight) read(response *exchangeResponse, cancel func()) (*answer, error) {
 	response.Body = &released{ReadCloser: response.Body, release: cancel}
-	proof := f.proxy.config.Headers.Proof
+	proof := f.proxy.config.Headers.Signature
 	if proof != "" && response.Status < http.StatusMultipleChoices && response.Header.Get(proof) == "" {
 		_ = response.Body.Close()
 		return nil, errNoProof
@@ -295,7 +295,7 @@
 	var refusal *port.Refusal
 	if !errors.As(err, &refusal) {
 		f.arrivals++
-		return f.route.Kind.Repeatable() && f.body.Again()
+		return f.route.Kind.Repeatable() && f.body.Rewind()
 	}
 	switch refusal.Reason {
 	case port.ReasonShed, port.ReasonShedWithRoom, port.ReasonMisdirected:
@@ -305,5 +305,5 @@
 	case port.ReasonBadRequest, port.ReasonQuarantined:
 		return false
 	}
-	return f.body.Again()
+	return f.body.Rewind()
 }
--- a/internal/proxy/hold.go
+++ b/internal/proxy/hold.go
@@ -43,8 +43,8 @@
 	running, waiting := p.gate.Counts()
 	word := loadWord{held: held, spent: p.ports.Clock.Now().Sub(received)}
 	word.Load = placement.Load{Running: running, Waiting: waiting}
-	if picture := p.picture.Load(); picture != nil && picture.Own != nil {
-		word.Slots = picture.Own.Slots
+	if picture := p.picture.Load(); picture != nil && picture.Local != nil {
+		word.Slots = picture.Local.Slots
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/operations_test.go
+++ b/internal/proxy/operations_test.go
@@ -47,7 +47,7 @@
 func TestPathOfARefusalThoughTargetsWereFree(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].Avoid(time.Now())
-	f.proxies[0].config.RepeatRatio, f.proxies[0].config.RepeatFew = 0, 0
+	f.proxies[0].config.RetryRatio, f.proxies[0].config.RetrySlack = 0, 0
 	f.targets[1].serve = sheds("1,0,4")
 	f.ask(0, "GET", "/idempotent/x", "")
 	lines := f.traced(t)
@@ -81,7 +81,7 @@
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t1"].Failed(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(headers.Proof, "proof")
+		w.Header().Set(headers.Signature, "proof")
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("half"))
 	}
@@ -102,7 +102,7 @@
 		f.ask(0, "GET", "/idempotent/x", "")
 	}
 	spent := time.Since(begin).Seconds() + 1
-	f.proxies[0].TellLeftOut()
+	f.proxies[0].LogDroppedLines()
 	failures := strings.Count(f.logs.String(), `"message":"request"`)
 	assert.Assert(t, float64(failures) <= spent*float64(linesPerSecond[lineFailure])+1, "%d in %.1f s", failures, spent)
 	assert.Assert(t, failures == asked || strings.Contains(f.logs.String(), "lines left out"))
@@ -114,7 +114,7 @@
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].Failed(time.Now())
 	f.targets[1].serve = func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(headers.Proof, "proof")
+		w.Header().Set(headers.Signature, "proof")
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 	f.ask(0, "GET", "/idempotent/x", "")
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -114,10 +114,10 @@
 		return refusal
 	}
 	picture := p.picture.Load()
-	if picture == nil || picture.Own == nil {
+	if picture == nil || picture.Local == nil {
 		return port.Refuse(port.ReasonNotReady, retryUnreachable, "no target is listed on this VM")
 	}
-	own := picture.Own
+	own := picture.Local
 	if expected := r.Header.Get(p.config.Headers.ExpectedTarget); expected != "" && expected != own.ID && t.revision < own.Revision {
 		return port.Refuse(port.ReasonWrongOwner, retryUnreachable, "this VM's target is another one")
 	}
@@ -126,7 +126,7 @@
 		// Entry nodes may have heard of it later than this one.
 		return port.Refuse(port.ReasonDraining, retryUnreachable, "the target's entry is gone")
 	}
-	if !own.DrainingSince.IsZero() && now.Sub(own.DrainingSince) > p.config.DrainWork {
+	if !own.DrainingSince.IsZero() && now.Sub(own.DrainingSince) > p.config.DrainGrace {
 		return port.Refuse(port.ReasonDraining, retryUnreachable, "the target drains")
 	}
 	return nil
@@ -172,7 +172,7 @@
 	if response.Status == http.StatusMisdirectedRequest {
 		return port.Refuse(port.ReasonMisdirected, retryUnreachable, "another target has the address")
 	}
-	if response.Header.Get(p.config.Headers.DidNotRun) == "" {
+	if response.Header.Get(p.config.Headers.NotExecuted) == "" {
 		return nil
 	}
 	switch response.Status {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -42,9 +42,9 @@
 	// CallerService is the service beside which the request began.
 	CallerService string
 	// Proof stands in each answer that a target made.
-	Proof string
+	Signature string
 	// DidNotRun stands in answers of targets that did not run the request.
-	DidNotRun string
+	NotExecuted string
 	// Load is the target's own load: running, waiting, slots.
 	Load string
 }
@@ -63,9 +63,9 @@
 	// RepeatRatio and RepeatFew bound what all nodes send again together: the
 	// part of a service's requests, and so many besides, in each RepeatWindow; 0
 	// for the usual one.
-	RepeatRatio  float64
-	RepeatFew    float64
-	RepeatWindow time.Duration
+	RetryRatio  float64
+	RetrySlack  float64
+	RetryWindow time.Duration
 	// HalfBytes is the size at which leaving the failure domain weighs half as much
 	// as a late answer; 0 if bytes don't matter.
 	HalfBytes float64
@@ -74,8 +74,8 @@
 	LinkRate float64
 	// DrainWork is for how long after it drains a target still gets work that was on
 	// its way; entry nodes may hear of it a moment later than the target's own node.
-	DrainWork time.Duration
-	Seed      uint64
+	DrainGrace time.Duration
+	Seed       uint64
 }
 
 // Ports are the proxy's ways to the world.
@@ -94,17 +94,17 @@
 }
 
 // Picture is what requests are routed by: a moment's immutable view of the mesh.
-type Picture struct {
+type Snapshot struct {
 	Table *mesh.Table
 	// Services holds the usable targets by service.
 	Services map[string][]*mesh.Member
 	// Own is the VM's own target, nil while the platform doesn't list it.
-	Own *mesh.Member
+	Local *mesh.Member
 	// Nodes is how many VMs the mesh has.
 	Nodes int
 	// Members grows with each change of the targets: two pictures with the same number
 	// above zero have the same targets.
-	Members uint64
+	MembersVersion uint64
 }
 
 // Proxy routes requests. It is safe for concurrent use.
@@ -117,7 +117,7 @@
 	// alone is held by the suspect of crashes that runs at the VM's own target.
 	alone   chan struct{}
 	service atomic.Pointer[string]
-	picture atomic.Pointer[Picture]
+	picture atomic.Pointer[Snapshot]
 	// stopping is set when a planned stop begins, ownStopped when the VM's own
 	// target gets no more work by it; endsBy is when everything must be over.
 	stopping   atomic.Bool
@@ -154,7 +154,7 @@
 		random:    rand.New(rand.NewPCG(config.Seed, 1)),
 		stats:     map[string]*placement.Stats{},
 		work:      map[string]*placement.Work{},
-		repeats:   retry.NewLedger(config.RepeatWindow),
+		repeats:   retry.NewLedger(config.RetryWindow),
 		runs:      ownRuns{running: map[string]ownRun{}},
 		crashes:   ports.Crashes,
 		alone:     make(chan struct{}, 1),
@@ -174,12 +174,12 @@
 func (p *Proxy) SetService(name string) { p.service.Store(&name) }
 
 // SetPicture puts a new picture in force.
-func (p *Proxy) SetPicture(picture *Picture) {
+func (p *Proxy) SetSnapshot(picture *Snapshot) {
 	before := p.picture.Swap(picture)
-	if picture.Own != nil && (before == nil || before.Own == nil || before.Own.Slots != picture.Own.Slots) {
-		p.gate.Configure(ownTerms(picture.Own.Slots))
+	if picture.Local != nil && (before == nil || before.Local == nil || before.Local.Slots != picture.Local.Slots) {
+		p.gate.Configure(ownTerms(picture.Local.Slots))
 	}
-	if before != nil && picture.Members != 0 && before.Members == picture.Members {
+	if before != nil && picture.MembersVersion != 0 && before.MembersVersion == picture.MembersVersion {
 		return
 	}
 	p.mu.Lock()
@@ -209,7 +209,7 @@
 	return known
 }
 
-func (p *Proxy) forgetGone(picture *Picture) {
+func (p *Proxy) forgetGone(picture *Snapshot) {
 	listed := map[string]bool{}
 	addresses := map[string]bool{}
 	for _, members := range picture.Services {
@@ -276,7 +276,7 @@
 }
 
 // Open is how many requests are under way through this node.
-func (p *Proxy) Open() int64 { return p.open.Load() }
+func (p *Proxy) InFlight() int64 { return p.open.Load() }
 
 // Stop begins a planned stop: the node is not ready any more, and each answer
 // closes its connection. Callers are served on, and the VM's own target gets on
@@ -291,7 +291,7 @@
 // its slots are missed while it gets none: refused from the order to stop on, it
 // stood idle until its node was back, four seconds by the times of a stop, where one
 // and a half are enough.
-func (p *Proxy) StopOwn() { p.ownStopped.Store(true) }
+func (p *Proxy) StopLocal() { p.ownStopped.Store(true) }
 
 func (p *Proxy) closeWhenStopping(w http.ResponseWriter) {
 	if p.stopping.Load() {
@@ -303,7 +303,7 @@
 func (p *Proxy) Tick() { p.gate.Tick() }
 
 // TellLeftOut logs how many lines were left out since it was last called.
-func (p *Proxy) TellLeftOut() { p.decisions.tellLeftOut() }
+func (p *Proxy) LogDroppedLines() { p.decisions.tellLeftOut() }
 
 // Counts returns how many requests run and wait at the VM's own target.
 func (p *Proxy) Counts() (running, waiting int) { return p.gate.Counts() }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -43,7 +43,7 @@
 func TestNodeWithoutConfigurationIsNotSure(t *testing.T) {
 	f := newFleet(t, 1)
 	assert.Equal(t, f.ask(0, "GET", "/nowhere/", "").Code, http.StatusNotFound)
-	f.proxies[0].SetPicture(&Picture{})
+	f.proxies[0].SetSnapshot(&Snapshot{})
 	w := f.ask(0, "GET", "/nowhere/", "")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Header().Get("Retry-After"), "0.200")
@@ -107,7 +107,7 @@
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t1"].Failed(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(headers.Proof, "proof")
+		w.Header().Set(headers.Signature, "proof")
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("half"))
 	}
@@ -194,11 +194,11 @@
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
 	f := newFleet(t, 2)
 	for _, p := range f.proxies {
-		p.config.RepeatFew = 4
+		p.config.RetrySlack = 4
 	}
 	for _, target := range f.targets {
 		target.serve = func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set(headers.Proof, "proof")
+			w.Header().Set(headers.Signature, "proof")
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}
@@ -256,10 +256,10 @@
 			f := newFleet(t, 2)
 			f.proxies[0].stats["t0"].Failed(time.Now())
 			picture := *f.proxies[1].picture.Load()
-			own := *picture.Own
+			own := *picture.Local
 			own.State, own.DrainingSince = mesh.Draining, time.Now().Add(-test.since)
-			picture.Own = &own
-			f.proxies[1].SetPicture(&picture)
+			picture.Local = &own
+			f.proxies[1].SetSnapshot(&picture)
 			assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), test.want)
 			assert.Equal(t, f.arrivals(), 1)
 		})
@@ -274,10 +274,10 @@
 	f.proxies[0].stats["t0"].Failed(time.Now())
 	usableUntil := func(until time.Time) {
 		picture := *f.proxies[1].picture.Load()
-		own := *picture.Own
+		own := *picture.Local
 		own.UsableUntil = until
-		picture.Own = &own
-		f.proxies[1].SetPicture(&picture)
+		picture.Local = &own
+		f.proxies[1].SetSnapshot(&picture)
 	}
 	usableUntil(time.Now().Add(time.Minute))
 	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t1 ran /once/x ")
@@ -294,7 +294,7 @@
 	f.proxies[1].Stop(time.Now().Add(time.Minute))
 	f.proxies[0].stats["t0"].Failed(time.Now())
 	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t1 ran /once/x ")
-	f.proxies[1].StopOwn()
+	f.proxies[1].StopLocal()
 	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
 	assert.Equal(t, f.arrivals(), 2)
 }
@@ -328,7 +328,7 @@
 			f.proxies[0].stats["t0"].Failed(time.Now())
 			f.proxies[0].Stop(time.Now().Add(test.endsIn))
 			if test.stopped {
-				f.proxies[0].StopOwn()
+				f.proxies[0].StopLocal()
 			}
 			got := f.ask(0, "POST", "/once/x", "")
 			assert.Equal(t, got.Code, test.status)
@@ -362,7 +362,7 @@
 	route.Shares = []mesh.Share{{Service: "empty", Weight: 1}}
 	picture := *f.proxies[0].picture.Load()
 	picture.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: []mesh.Route{route}})
-	f.proxies[0].SetPicture(&picture)
+	f.proxies[0].SetSnapshot(&picture)
 	assert.Equal(t, f.ask(0, "GET", "/split/x", "").Code, http.StatusServiceUnavailable)
 	assert.Equal(t, f.arrivals(), 0)
 }
@@ -375,7 +375,7 @@
 	config := *f.table.Config
 	config.Limits = mesh.Limits{HeaderBytes: 100, BodyBytes: 10}
 	picture.Table = mesh.NewTable(&config)
-	f.proxies[0].SetPicture(&picture)
+	f.proxies[0].SetSnapshot(&picture)
 	for _, test := range []struct {
 		desc, path, body string
 		status           int
@@ -397,7 +397,7 @@
 	f := newFleet(t, 1)
 	seen := map[quarantine.Fingerprint]bool{}
 	for _, letter := range []string{"a", "b"} {
-		body := strings.Repeat(letter, requestbody.KeptBytes+1)
+		body := strings.Repeat(letter, requestbody.MaxBufferedBytes+1)
 		w := f.ask(0, "POST", "/once/x", body)
 		assert.Equal(t, w.Body.String(), "t0 ran /once/x "+body)
 		kept, length, err := requestbody.Read(strings.NewReader(body), int64(len(body)))
--- a/internal/proxy/reach.go
+++ b/internal/proxy/reach.go
@@ -104,7 +104,7 @@
 const firstTrip = 100 * time.Millisecond
 
 // Greet reaches the node at an address, whether it answers or not.
-func (p *Proxy) Greet(ctx context.Context, address string) {
+func (p *Proxy) Ping(ctx context.Context, address string) {
 	if err := p.ping(ctx, address, pingTimeout+firstTrip); err != nil {
 		p.ports.Log.Debug().Str(logfield.Neighbour, address).Err(err).Msg("greeting not answered")
 	}
--- a/internal/proxy/reach_test.go
+++ b/internal/proxy/reach_test.go
@@ -23,7 +23,7 @@
 		gone.Address = silentAddress(t, p.config.PeerPort)
 		members[node] = &gone
 		picture.Services = map[string][]*mesh.Member{"s": members}
-		p.SetPicture(&picture)
+		p.SetSnapshot(&picture)
 	}
 }
 
@@ -80,7 +80,7 @@
 	call.TargetLatency = 50 * time.Millisecond
 	picture := *f.proxies[0].picture.Load()
 	picture.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: append([]mesh.Route{call}, f.table.Config.Routes...)})
-	f.proxies[0].SetPicture(&picture)
+	f.proxies[0].SetSnapshot(&picture)
 	var mu sync.Mutex
 	var order []string
 	release := make(chan struct{})
--- a/internal/proxy/repeat.go
+++ b/internal/proxy/repeat.go
@@ -24,12 +24,12 @@
 }
 
 // repeatTerms are this node's part of the fleet's budget.
-func (p *Proxy) repeatTerms(picture *Picture) retry.Terms {
+func (p *Proxy) repeatTerms(picture *Snapshot) retry.Terms {
 	nodes := 1
 	if picture != nil {
 		nodes = max(picture.Nodes, 1)
 	}
-	return retry.Terms{Ratio: p.config.RepeatRatio, Few: p.config.RepeatFew / float64(nodes)}
+	return retry.Terms{Ratio: p.config.RetryRatio, Few: p.config.RetrySlack / float64(nodes)}
 }
 
 func (p *Proxy) countRequest(f *flight) {
--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/repeat_test.go
@@ -46,7 +46,7 @@
 	inner := &arrivalsByPath{prefix: "/inner/", seen: map[string]int{}}
 	calls := 0
 	for i, target := range f.targets {
-		f.proxies[i].config.RepeatFew = 0
+		f.proxies[i].config.RetrySlack = 0
 		target.serve = func(w http.ResponseWriter, r *http.Request) {
 			arrivals := outer
 			if strings.HasPrefix(r.URL.Path, inner.prefix) {
@@ -90,5 +90,5 @@
 		picture.Services[prefix] = members
 	}
 	picture.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: routes})
-	p.SetPicture(&picture)
+	p.SetSnapshot(&picture)
 }
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -47,7 +47,7 @@
 }
 
 func (f *flight) mayAskSecond() bool {
-	return f.route.Kind.Repeatable() && f.arrivals+1 < f.route.MaxAttempts && f.body.IsKept() && f.mayRepeat()
+	return f.route.Kind.Repeatable() && f.arrivals+1 < f.route.MaxAttempts && f.body.IsBuffered() && f.mayRepeat()
 }
 
 // slowAfter is the time after which an attempt takes far longer than usual.
--- a/internal/requestbody/requestbody.go
+++ b/internal/requestbody/requestbody.go
@@ -11,7 +11,7 @@
 
 // KeptBytes is how large a request body may be to be kept in memory, so
 // that a refused request can be offered to another target.
-const KeptBytes = 64 << 10
+const MaxBufferedBytes = 64 << 10
 
 // headBytes is how much of a larger body is read ahead, to tell it from others.
 const headBytes = 4 << 10
@@ -39,22 +39,22 @@
 	if body == nil || length == 0 {
 		return &Body{}, 0, nil
 	}
-	ahead := int64(KeptBytes + 1)
-	if length > KeptBytes {
+	ahead := int64(MaxBufferedBytes + 1)
+	if length > MaxBufferedBytes {
 		ahead = headBytes
 	}
 	head, err := io.ReadAll(io.LimitReader(body, ahead))
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "body")
 	}
-	if length > KeptBytes || len(head) > KeptBytes {
+	if length > MaxBufferedBytes || len(head) > MaxBufferedBytes {
 		return &Body{stream: io.MultiReader(bytes.NewReader(head), body), head: head}, length, nil
 	}
 	return &Body{kept: head}, int64(len(head)), nil
 }
 
 // IsKept reports whether any number of attempts can have the whole body.
-func (b *Body) IsKept() bool { return b.stream == nil }
+func (b *Body) IsBuffered() bool { return b.stream == nil }
 
 // Head returns what is known of the body before an attempt: all of a small one, and the first
 // bytes of a large one. It must not be changed.
@@ -86,7 +86,7 @@
 
 // Again reports whether another attempt can have the whole body. After it said
 // yes, earlier attempts can read nothing any more.
-func (b *Body) Again() bool {
+func (b *Body) Rewind() bool {
 	if b.stream == nil {
 		return true
 	}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -26,18 +26,18 @@
 
 // Progress reads from a stream and puts a timer off with each byte that comes, so
 // that the timer tells silence from a long message on a full link.
-type Progress struct {
-	From  io.Reader
-	Timer *time.Timer
+type IdleReader struct {
+	Source io.Reader
+	Timer  *time.Timer
 	// Silence is for how long the timer is put off.
-	Silence time.Duration
+	IdleTimeout time.Duration
 }
 
 // Read implements io.Reader.
-func (p *Progress) Read(b []byte) (int, error) {
-	n, err := p.From.Read(b)
+func (p *IdleReader) Read(b []byte) (int, error) {
+	n, err := p.Source.Read(b)
 	if n > 0 {
-		p.Timer.Reset(p.Silence)
+		p.Timer.Reset(p.IdleTimeout)
 	}
 	return n, err
 }
