--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -12,85 +12,87 @@
 	"tamarackquay/internal/port"
 )
 
-// attempt is one offer of a request to a target. Begin and settle are called by the
-// request's own goroutine, run by any.
+// attempt is one attempt to send a request to a target. startAttempt and handleOutcome
+// are called by the request's own goroutine, run by any.
 type attempt struct {
-	flight   *flight
-	member   *mesh.Member
-	terms    terms
-	request  *exchange.Request
-	stats    *placement.Stats
-	believed belief
-	began    time.Time
+	forwarder *forwarder
+	member    *mesh.Member
+	meta      attemptMeta
+	request   *exchange.Request
+	stats     *placement.Stats
+	lastLoad  lastLoad
+	began     time.Time
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// answering is closed when the header of an answer has come.
-	answering chan struct{}
+	// headerReceived is closed when the response header has been received.
+	headerReceived chan struct{}
 }
 
-// outcome is how an attempt ended.
+// outcome is the result of an attempt.
 type outcome struct {
 	attempt *attempt
-	// answer is set without an error, word where the target's node said anything.
-	answer *answer
-	word   loadWord
-	// way is how long the answer took beside what the target's node took.
-	way time.Duration
-	err error
+	// response is set if err is nil. report is zero if the target's node sent none.
+	response *bufferedResponse
+	report   loadReport
+	// networkTime is the time until the response header without the time spent by the
+	// target's node.
+	networkTime time.Duration
+	err         error
 }
 
-// begin chooses the terms of an attempt and counts it; run must follow.
-func (f *flight) begin(ctx context.Context, now time.Time, member *mesh.Member) *attempt {
+// startAttempt sets the metadata of an attempt and counts it; run must follow.
+func (f *forwarder) startAttempt(ctx context.Context, now time.Time, member *mesh.Member) *attempt {
 	f.tried[member.ID] = true
-	a := &attempt{flight: f, member: member, terms: f.terms(now, member), request: f.request(member), began: now, answering: make(chan struct{})}
-	f.offers++
-	a.stats, a.believed = f.proxy.begin(now, member)
+	a := &attempt{forwarder: f, member: member, meta: f.newMeta(now, member), request: f.newRequest(member), began: now, headerReceived: make(chan struct{})}
+	f.attempts++
+	a.stats, a.lastLoad = f.proxy.startAttempt(now, member)
 	a.ctx, a.cancel = context.WithDeadline(ctx, f.deadline)
 	return a
 }
 
-// run offers the request and reads the answer.
+// run sends the request and reads the response.
 func (a *attempt) run() outcome {
-	p := a.flight.proxy
-	defer p.finish(a.stats)
-	response, word, err := p.send(a.ctx, a.member, &a.terms, a.request, a.began)
+	p := a.forwarder.proxy
+	defer p.endAttempt(a.stats)
+	response, report, err := p.send(a.ctx, a.member, &a.meta, a.request, a.began)
 	if err != nil {
 		a.cancel()
-		return outcome{attempt: a, word: word, err: err}
+		return outcome{attempt: a, report: report, err: err}
 	}
-	close(a.answering)
-	way := p.ports.Clock.Now().Sub(a.began) - word.spent
-	answer, err := a.flight.read(response, a.cancel)
+	close(a.headerReceived)
+	networkTime := p.ports.Clock.Now().Sub(a.began) - report.nodeTime
+	resp, err := a.forwarder.readResponse(response, a.cancel)
 	if err != nil {
-		return outcome{attempt: a, word: word, err: &port.Unknown{Stage: "answer", Cause: err}}
+		return outcome{attempt: a, report: report, err: &port.Unknown{Stage: "answer", Cause: err}}
 	}
-	return outcome{attempt: a, answer: answer, word: word, way: way}
+	return outcome{attempt: a, response: resp, report: report, networkTime: networkTime}
 }
 
-// settle learns from how an attempt ended. Where the target answered that it failed,
-// and another may be asked, the answer comes with an error.
-func (f *flight) settle(o outcome) (*answer, error) {
+// handleOutcome updates the statistics with the outcome of an attempt. If the target
+// responded with a failure and another target may be tried, it returns the response
+// together with an error.
+func (f *forwarder) handleOutcome(o outcome) (*bufferedResponse, error) {
 	p := f.proxy
-	f.last = o.attempt.member.ID
+	f.lastTarget = o.attempt.member.ID
 	if o.err != nil {
-		p.noteFailure(o.attempt.stats, o.word, o.err)
-		f.tellFailed(o.attempt, o.err)
+		p.recordFailure(o.attempt.stats, o.report, o.err)
+		f.logFailure(o.attempt, o.err)
 		return nil, o.err
 	}
-	p.noteAnswer(o.attempt.stats, f.route, o.word, o.way, o.answer)
-	if f.failed(o.answer) {
-		err := &port.Unknown{Stage: "answer", Cause: errors.Errorf("the target answered with status %d", o.answer.response.Status)}
-		f.tellFailed(o.attempt, err)
-		return o.answer, err
+	p.recordResponse(o.attempt.stats, f.route, o.report, o.networkTime, o.response)
+	if f.isFailure(o.response) {
+		err := &port.Unknown{Stage: "answer", Cause: errors.Errorf("the target answered with status %d", o.response.response.Status)}
+		f.logFailure(o.attempt, err)
+		return o.response, err
 	}
-	if o.answer.rest == nil && o.answer.response.Status < failedStatus {
+	if o.response.rest == nil && o.response.response.Status < minFailureStatus {
 		p.crashes.Completed(f.fingerprint)
 	}
-	return o.answer, nil
+	return o.response, nil
 }
 
-func (f *flight) tellFailed(a *attempt, err error) {
+func (f *forwarder) logFailure(a *attempt, err error) {
 	p := f.proxy
-	p.decisions.failedAttempt(p.ports.Clock.Now(), f, a.member, a.terms.attempt, a.believed, err)
+	p.requestLog.attemptFailed(p.ports.Clock.Now(), f, a.member, a.meta.attemptID, a.lastLoad, err)
 }
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -7,20 +7,20 @@
 	"tamarackquay/internal/placement"
 )
 
-// choose returns the cheapest usable target that was not tried, or nil.
-func (f *flight) choose(now time.Time) *mesh.Member {
+// choose returns the usable target with the lowest cost that was not tried yet, or nil.
+func (f *forwarder) choose(now time.Time) *mesh.Member {
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	request := &placement.Request{
-		Work: *p.workOf(f.route), Left: f.wanted(now),
+		Work: *p.workFor(f.route), Left: f.dueIn(now),
 		Sent: float64(max(f.length, 0)), HalfBytes: p.config.HalfBytes,
 	}
-	if best := f.cheapest(now, request, false); best != nil || f.offers > 0 {
+	if best := f.cheapest(now, request, false); best != nil || f.attempts > 0 {
 		return best
 	}
-	// All are left alone for the moment. That is no reason to refuse a request
-	// which one of them may take by now.
+	// All targets are in backoff. The request isn't refused for that, since one of them
+	// may accept requests again by now.
 	return f.cheapest(now, request, true)
 }
 
@@ -30,68 +30,71 @@
 	stats  *placement.Stats
 }
 
-// candidates are the targets of one service by distance.
+// candidates holds the targets of one service by distance.
 type candidates [placement.Distances][]candidate
 
-// cheapest must be called with the proxy's mutex held. Targets further away are looked at
-// only if they can be cheaper than the best of the nearer ones: a service of some hundred
-// targets has most of them outside.
-func (f *flight) cheapest(now time.Time, request *placement.Request, avoided bool) *mesh.Member {
+// cheapest returns the eligible target with the lowest cost, or nil. Targets further away
+// are examined only if they can cost less than the best of the nearer ones, since most
+// targets of a service with several hundred are outside the failure domain. It must be
+// called with the mutex held.
+func (f *forwarder) cheapest(now time.Time, request *placement.Request, includeAvoided bool) *mesh.Member {
 	var best *mesh.Member
-	least := 0.0
+	minCost := 0.0
 	groups := f.proxy.candidates[f.service]
 	if groups == nil {
 		return nil
 	}
 	for distance, group := range groups {
-		if best != nil && least <= request.Least(placement.Distance(distance)) {
+		if best != nil && minCost <= request.Least(placement.Distance(distance)) {
 			break
 		}
 		for _, c := range group {
-			if !f.mayChoose(now, c, avoided) {
+			if !f.eligible(now, c, includeAvoided) {
 				continue
 			}
 			cost := c.stats.Cost(now, request) + tieBreak*f.proxy.random.Float64()
-			if best == nil || cost < least {
-				best, least = c.member, cost
+			if best == nil || cost < minCost {
+				best, minCost = c.member, cost
 			}
 		}
 	}
 	return best
 }
 
-func (f *flight) mayChoose(now time.Time, c candidate, avoided bool) bool {
+// eligible reports whether a target may get the next attempt. If includeAvoided is set,
+// targets in backoff and targets with unreachable nodes are eligible as well.
+func (f *forwarder) eligible(now time.Time, c candidate, includeAvoided bool) bool {
 	if f.tried[c.member.ID] || !c.member.Usable(now) {
 		return false
 	}
-	return avoided || c.stats.Available(now) && !f.proxy.isAway(c.member)
+	return includeAvoided || c.stats.Available(now) && !f.proxy.isUnreachable(c.member)
 }
 
-// tieBreak is the random part of a cost: nodes that know the same of two equal
-// targets would otherwise all take the same one.
+// tieBreak is the random part of a cost. Without it, nodes with the same information
+// about two equal targets would all choose the same one.
 const tieBreak = 0.02
 
-// wanted is the time in which the answer is still worth its full credit; past
-// it, the time in which it is worth anything.
-func (f *flight) wanted(now time.Time) time.Duration {
+// dueIn returns the time left to meet the target latency; once that has passed, the time
+// left until the deadline.
+func (f *forwarder) dueIn(now time.Time) time.Duration {
 	left := f.deadline.Sub(now)
 	if f.route.TargetLatency <= 0 || f.overdue(now) {
 		return left
 	}
-	return min(left, f.first.Add(f.route.TargetLatency).Sub(now))
+	return min(left, f.firstAt.Add(f.route.TargetLatency).Sub(now))
 }
 
-// firstDownload is the size that a download is taken for until one was seen, so
-// that the first ones don't leave the failure domain either.
-const firstDownload = 100e3
+// initialDownloadBytes is the assumed size of a download until one was observed, so that
+// the first downloads don't leave the failure domain either.
+const initialDownloadBytes = 100e3
 
-// workOf must be called with the mutex held.
-func (p *Proxy) workOf(route *mesh.Route) *placement.Work {
+// workFor returns the observed work of a route. It must be called with the mutex held.
+func (p *Proxy) workFor(route *mesh.Route) *placement.Work {
 	work := p.work[route.Name]
 	if work == nil {
 		work = &placement.Work{}
 		if route.Kind == mesh.Download {
-			work.Bytes = firstDownload
+			work.Bytes = initialDownloadBytes
 		}
 		p.work[route.Name] = work
 	}
--- a/internal/proxy/choose_test.go
+++ b/internal/proxy/choose_test.go
@@ -14,9 +14,9 @@
 	"tamarackquay/internal/placement"
 )
 
-// entryOfFleet is a request at an entry node of a fleet whose service has so many targets
-// in nine failure domains of three regions.
-func entryOfFleet(targets int) *flight {
+// newChoosingForwarder returns a request at an entry node whose service has the given
+// number of targets, in nine failure domains of three regions.
+func newChoosingForwarder(targets int) *forwarder {
 	regions := map[string]string{}
 	for domain := range 9 {
 		regions[fmt.Sprint("d", domain)] = fmt.Sprint("r", domain%3)
@@ -36,17 +36,18 @@
 	}
 	p.SetSnapshot(&Snapshot{Services: map[string][]*mesh.Member{"s": members}, Nodes: targets})
 	route := testRoute("/idempotent/", mesh.Idempotent)
-	return &flight{proxy: p, route: &route, service: "s", tried: map[string]bool{}, first: time.Now(), deadline: time.Now().Add(time.Minute)}
+	return &forwarder{proxy: p, route: &route, service: "s", tried: map[string]bool{}, firstAt: time.Now(), deadline: time.Now().Add(time.Minute)}
 }
 
-// BenchmarkChoice is what an entry node spends on the choice of a target, under its mutex.
+// BenchmarkChoice measures the choice of a target by an entry node, which is made under
+// its mutex.
 func BenchmarkChoice(b *testing.B) {
 	for _, targets := range []int{6, 40, 157, 1600} {
 		b.Run(fmt.Sprintf("targets-%d", targets), func(b *testing.B) {
-			f := entryOfFleet(targets)
+			f := newChoosingForwarder(targets)
 			b.ReportAllocs()
 			for b.Loop() {
-				if f.choose(f.first) == nil {
+				if f.choose(f.firstAt) == nil {
 					b.Fatal("none")
 				}
 			}
@@ -54,30 +55,30 @@
 	}
 }
 
-// Guards against a choice that leaves a target further away alone which is the cheaper
-// one: targets of the own failure domain are full, left alone or tried.
+// Guards against skipping a cheaper target that is further away. Targets in the node's
+// own failure domain are full, failing, in backoff or already tried.
 func TestChoiceGoesOutsideWhereNearTargetsAreWorse(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
 		desc    string
-		near    func(f *flight, c candidate)
+		near    func(f *forwarder, c candidate)
 		outside bool
 	}{
-		{"near targets are free", func(*flight, candidate) {}, false},
-		{"near targets are surely late", func(_ *flight, c candidate) {
+		{"near targets are free", func(*forwarder, candidate) {}, false},
+		{"near targets are certain to be late", func(_ *forwarder, c candidate) {
 			c.stats.Heard(now, placement.Load{Running: 9, Waiting: 30, Slots: 9, Hold: time.Second})
 		}, true},
-		{"near targets fail", func(_ *flight, c candidate) {
+		{"near targets fail", func(_ *forwarder, c candidate) {
 			for range 30 {
 				c.stats.Failed(now)
 			}
 		}, true},
-		{"near targets are left alone", func(_ *flight, c candidate) { c.stats.Avoid(now) }, true},
-		{"near targets were tried", func(f *flight, c candidate) { f.tried[c.member.ID] = true }, true},
+		{"near targets are in backoff", func(_ *forwarder, c candidate) { c.stats.Avoid(now) }, true},
+		{"near targets were tried", func(f *forwarder, c candidate) { f.tried[c.member.ID] = true }, true},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			f := entryOfFleet(157)
-			f.first = now
+			f := newChoosingForwarder(157)
+			f.firstAt = now
 			f.tried["t0"] = true
 			for distance := range placement.SameRegion {
 				for _, c := range f.proxy.candidates["s"][distance] {
--- a/internal/proxy/comeback.go
+++ b/internal/proxy/comeback.go
@@ -6,26 +6,27 @@
 	"tamarackquay/internal/routing/clientretry"
 )
 
-func (f *flight) attemptOfCaller() *clientretry.Request {
-	return &clientretry.Request{Method: f.method, Host: f.host, URI: f.uri, Ends: f.callerEnds}
+func (f *forwarder) callerRetryKey() *clientretry.Request {
+	return &clientretry.Request{Method: f.method, Host: f.host, URI: f.uri, Ends: f.callerDeadline}
 }
 
-// firstAttempt is when the caller of a request first asked for it.
-func (p *Proxy) firstAttempt(f *flight) time.Time {
+// firstAttempt returns when the caller first sent this request.
+func (p *Proxy) firstAttempt(f *forwarder) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.callers.First(f.began, f.attemptOfCaller())
+	return p.callerRetries.First(f.began, f.callerRetryKey())
 }
 
-// rememberFailed keeps in mind that the caller may come back.
-func (p *Proxy) rememberFailed(f *flight) {
+// recordCallerFailure records a failed request, to recognize it if its caller retries.
+func (p *Proxy) recordCallerFailure(f *forwarder) {
 	now := p.ports.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.callers.Failed(now, f.attemptOfCaller(), f.first)
+	p.callerRetries.Failed(now, f.callerRetryKey(), f.firstAt)
 }
 
-// overdue reports whether the answer can't be in time any more, however fast it is.
-func (f *flight) overdue(now time.Time) bool {
-	return f.route.TargetLatency > 0 && !now.Before(f.first.Add(f.route.TargetLatency))
+// overdue reports whether the response is late in any case because the target latency has
+// passed.
+func (f *forwarder) overdue(now time.Time) bool {
+	return f.route.TargetLatency > 0 && !now.Before(f.firstAt.Add(f.route.TargetLatency))
 }
--- a/internal/proxy/comeback_test.go
+++ b/internal/proxy/comeback_test.go
@@ -15,136 +15,138 @@
 	"tamarackquay/internal/placement"
 )
 
-// crowd plays callers at one target that is offered more than it can do. Who is
-// refused comes back after a third of the time that it has left, twice at most.
-type crowd struct {
+// burst simulates callers of one target that gets more requests than it can process. A
+// refused caller retries after a third of its remaining time, at most twice.
+type burst struct {
 	random *rand.Rand
 	queue  *admission.Queue
-	// recognised says that callers who come back are known.
-	recognised bool
-	due        []crowdEvent
-	waiting    map[string]*crowdCaller
+	// recognized is set if retries are recognized as such.
+	recognized bool
+	events     []burstEvent
+	waiting    map[string]*burstCaller
 	inTime     int
 	late       int
-	never      int
+	unanswered int
 }
 
-type crowdCaller struct {
-	first, ends time.Time
-	attempts    int
+type burstCaller struct {
+	firstAt, deadline time.Time
+	attempts          int
 }
 
-type crowdEvent struct {
+type burstEvent struct {
 	at time.Time
 	do func(now time.Time)
 }
 
 const (
-	crowdSlots   = 12
-	crowdUsual   = 200 * time.Millisecond
-	crowdLatency = 600 * time.Millisecond
-	crowdWaits   = 4 * time.Second
-	crowdRetries = 2
+	burstSlots   = 12
+	burstWork    = 200 * time.Millisecond
+	burstLatency = 600 * time.Millisecond
+	burstTimeout = 4 * time.Second
+	burstRetries = 2
 )
 
-func (c *crowd) at(at time.Time, do func(time.Time)) { c.due = append(c.due, crowdEvent{at, do}) }
+func (b *burst) schedule(at time.Time, do func(time.Time)) {
+	b.events = append(b.events, burstEvent{at, do})
+}
 
-// run plays what is due, in order, until nothing is.
-func (c *crowd) run() {
-	for len(c.due) > 0 {
+// run processes the events in order of time until none is left.
+func (b *burst) run() {
+	for len(b.events) > 0 {
 		next := 0
-		for i := range c.due {
-			if c.due[i].at.Before(c.due[next].at) {
+		for i := range b.events {
+			if b.events[i].at.Before(b.events[next].at) {
 				next = i
 			}
 		}
-		event := c.due[next]
-		c.due = slices.Delete(c.due, next, next+1)
+		event := b.events[next]
+		b.events = slices.Delete(b.events, next, next+1)
 		event.do(event.at)
 	}
 }
 
-func (c *crowd) arrive(now time.Time, caller *crowdCaller) {
+func (b *burst) arrive(now time.Time, caller *burstCaller) {
 	caller.attempts++
-	f, member := crowdFlight(now, caller, c.recognised)
-	t := f.terms(now, member)
-	id := fmt.Sprint(caller.first.UnixNano(), " ", caller.attempts)
-	decision, changes := c.queue.Offer(now, admission.Request{
-		ID: id, Customer: meshCustomer, Rank: t.rank, Deadline: now.Add(min(t.wait+leastBudget, t.budget)),
+	f, member := newBurstForwarder(now, caller, b.recognized)
+	meta := f.newMeta(now, member)
+	id := fmt.Sprint(caller.firstAt.UnixNano(), " ", caller.attempts)
+	decision, changes := b.queue.Offer(now, admission.Request{
+		ID: id, Customer: meshCustomer, Rank: meta.rank, Deadline: now.Add(min(meta.maxWait+minBudget, meta.budget)),
 	})
-	c.waiting[id] = caller
+	b.waiting[id] = caller
 	if decision.Verdict == admission.Refused {
-		c.refused(now, id)
+		b.retry(now, id)
 	}
-	c.follow(now, changes)
+	b.apply(now, changes)
 }
 
-func crowdFlight(now time.Time, caller *crowdCaller, recognised bool) (*flight, *mesh.Member) {
+func newBurstForwarder(now time.Time, caller *burstCaller, recognized bool) (*forwarder, *mesh.Member) {
 	p := New(Config{}, Ports{})
-	route := &mesh.Route{Name: "r", Kind: mesh.Idempotent, TargetLatency: crowdLatency}
-	member := &mesh.Member{Target: mesh.Target{ID: "t", Slots: crowdSlots}}
-	p.stats["t"] = &placement.Stats{Slots: crowdSlots}
-	p.work["r"] = &placement.Work{Hold: crowdUsual}
-	f := &flight{proxy: p, route: route, began: now, first: now, deadline: caller.ends}
-	if recognised {
-		f.first = caller.first
+	route := &mesh.Route{Name: "r", Kind: mesh.Idempotent, TargetLatency: burstLatency}
+	member := &mesh.Member{Target: mesh.Target{ID: "t", Slots: burstSlots}}
+	p.stats["t"] = &placement.Stats{Slots: burstSlots}
+	p.work["r"] = &placement.Work{Hold: burstWork}
+	f := &forwarder{proxy: p, route: route, began: now, firstAt: now, deadline: caller.deadline}
+	if recognized {
+		f.firstAt = caller.firstAt
 	}
 	return f, member
 }
 
-func (c *crowd) follow(now time.Time, changes admission.Changes) {
+func (b *burst) apply(now time.Time, changes admission.Changes) {
 	for _, r := range slices.Clone(changes.Dropped) {
-		c.refused(now, r.Request.ID)
+		b.retry(now, r.Request.ID)
 	}
 	for _, r := range slices.Clone(changes.Started) {
-		c.start(now, r.ID)
+		b.start(now, r.ID)
 	}
 }
 
-func (c *crowd) start(now time.Time, id string) {
-	caller := c.waiting[id]
-	hold := time.Duration(float64(crowdUsual) * math.Exp(0.5*c.random.NormFloat64()-0.125))
-	c.at(now.Add(hold), func(now time.Time) {
-		if now.Sub(caller.first) <= crowdLatency {
-			c.inTime++
+func (b *burst) start(now time.Time, id string) {
+	caller := b.waiting[id]
+	hold := time.Duration(float64(burstWork) * math.Exp(0.5*b.random.NormFloat64()-0.125))
+	b.schedule(now.Add(hold), func(now time.Time) {
+		if now.Sub(caller.firstAt) <= burstLatency {
+			b.inTime++
 		} else {
-			c.late++
+			b.late++
 		}
-		c.follow(now, c.queue.Release(now, id))
+		b.apply(now, b.queue.Release(now, id))
 	})
 }
 
-func (c *crowd) refused(now time.Time, id string) {
-	caller := c.waiting[id]
-	if caller.attempts > crowdRetries {
-		c.never++
+func (b *burst) retry(now time.Time, id string) {
+	caller := b.waiting[id]
+	if caller.attempts > burstRetries {
+		b.unanswered++
 		return
 	}
-	c.at(now.Add(caller.ends.Sub(now)/3), func(now time.Time) { c.arrive(now, caller) })
+	b.schedule(now.Add(caller.deadline.Sub(now)/3), func(now time.Time) { b.arrive(now, caller) })
 }
 
-func playCrowd(recognised bool) *crowd {
+func simulateBurst(recognized bool) *burst {
 	const demand = 1.3
-	c := &crowd{
-		random: rand.New(rand.NewPCG(5, 6)), queue: admission.NewQueue(ownTerms(crowdSlots), 1),
-		recognised: recognised, waiting: map[string]*crowdCaller{},
+	b := &burst{
+		random: rand.New(rand.NewPCG(5, 6)), queue: admission.NewQueue(admissionTerms(burstSlots), 1),
+		recognized: recognized, waiting: map[string]*burstCaller{},
 	}
 	start := time.Unix(1_000_000, 0)
-	between := float64(crowdUsual) / (demand * crowdSlots)
-	for at := start; at.Before(start.Add(30 * time.Second)); at = at.Add(time.Duration(c.random.ExpFloat64() * between)) {
-		caller := &crowdCaller{first: at, ends: at.Add(crowdWaits)}
-		c.at(at, func(now time.Time) { c.arrive(now, caller) })
+	between := float64(burstWork) / (demand * burstSlots)
+	for at := start; at.Before(start.Add(30 * time.Second)); at = at.Add(time.Duration(b.random.ExpFloat64() * between)) {
+		caller := &burstCaller{firstAt: at, deadline: at.Add(burstTimeout)}
+		b.schedule(at, func(now time.Time) { b.arrive(now, caller) })
 	}
-	c.run()
-	return c
+	b.run()
+	return b
 }
 
-// A target is offered 1.3 times what it can do for half a minute, and refused
-// callers come back. Where they are known, those who can still be in time go first:
-// far more callers are answered in time, and about as many are answered at all.
+// A target gets 1.3 times the requests that it can process for half a minute, and refused
+// callers retry. If retries are recognized, requests that can still be in time are served
+// first: far more callers get a response in time, and about as many get one at all.
 func TestCallersWhoCameBackGoBehindThoseInTime(t *testing.T) {
-	unknown, known := playCrowd(false), playCrowd(true)
-	t.Logf("not known: %d in time, %d late, %d never; known: %d, %d, %d", unknown.inTime, unknown.late, unknown.never, known.inTime, known.late, known.never)
+	unknown, known := simulateBurst(false), simulateBurst(true)
+	t.Logf("retries not recognized: %d in time, %d late, %d unanswered; recognized: %d, %d, %d", unknown.inTime, unknown.late, unknown.unanswered, known.inTime, known.late, known.unanswered)
 	assert.Assert(t, known.inTime > unknown.inTime*5/4)
 	assert.Assert(t, known.inTime+known.late > (unknown.inTime+unknown.late)*95/100)
 }
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -16,70 +16,74 @@
 	"tamarackquay/internal/quarantine"
 )
 
-// ownRuns are the runs at the VM's own target, as far as they matter for its crashes. The
-// proxy's mutex guards them.
-type ownRuns struct {
-	running map[string]ownRun
-	// broken holds runs whose connection ended without an answer, the first of them at
-	// brokeAt, until the target was looked at.
-	broken  []ownRun
-	brokeAt time.Time
-	looking bool
-	// crashed is when the target crashed last. Answered says that it has since.
-	crashed  time.Time
-	answered bool
+// localRuns tracks the requests running at the local target, to detect crashes of the
+// target. It is guarded by the proxy's mutex.
+type localRuns struct {
+	// running holds the current runs by attempt id.
+	running map[string]localRun
+	// broken holds runs whose connection ended without a response, until the target is
+	// checked. firstBrokenAt is when the first of them ended.
+	broken        []localRun
+	firstBrokenAt time.Time
+	checking      bool
+	// lastCrash is the time of the target's last crash. answeredSince is set once the
+	// target has answered after it.
+	lastCrash     time.Time
+	answeredSince bool
 }
 
-type ownRun struct {
+// localRun is one run of a request at the local target.
+type localRun struct {
 	request quarantine.Fingerprint
 	began   time.Time
 }
 
 const (
-	// settleTime is how long after the first broken run the target is looked at. A process
-	// that ends closes its connections and its listener within it.
-	settleTime = 20 * time.Millisecond
-	// lookTimeout bounds the look.
-	lookTimeout = 300 * time.Millisecond
-	// mostLoggedSuspects bounds the line of a crash.
-	mostLoggedSuspects = 16
+	// crashCheckDelay is the time from the first broken run to the check of the target.
+	// An exiting process closes its connections and its listener within this time.
+	crashCheckDelay = 20 * time.Millisecond
+	// crashCheckTimeout limits the duration of the check.
+	crashCheckTimeout = 300 * time.Millisecond
+	// maxLoggedSuspects limits the length of a crash's log line.
+	maxLoggedSuspects = 16
 )
 
-func (p *Proxy) beginOwnRun(now time.Time, t *terms) {
+// trackRun records the start of a run.
+func (p *Proxy) trackRun(now time.Time, meta *attemptMeta) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.runs.running[t.attempt] = ownRun{request: t.fingerprint, began: now}
+	p.localRuns.running[meta.attemptID] = localRun{request: meta.fingerprint, began: now}
 }
 
-// endOwnRun takes the end of a run; the error is nil where the whole answer was read.
-func (p *Proxy) endOwnRun(ctx context.Context, t *terms, status int, err error) {
-	if err == nil && status < failedStatus {
-		p.crashes.Completed(t.fingerprint)
+// recordRunEnd records the end of a run; err is nil if the complete response was read.
+func (p *Proxy) recordRunEnd(ctx context.Context, meta *attemptMeta, status int, err error) {
+	if err == nil && status < minFailureStatus {
+		p.crashes.Completed(meta.fingerprint)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	run := p.runs.running[t.attempt]
-	delete(p.runs.running, t.attempt)
+	run := p.localRuns.running[meta.attemptID]
+	delete(p.localRuns.running, meta.attemptID)
 	if err == nil {
-		p.runs.answered = true
+		p.localRuns.answeredSince = true
 		return
 	}
-	if ctx.Err() != nil || !brokenOff(err) || !run.began.After(p.runs.crashed) {
+	if ctx.Err() != nil || !closedByPeer(err) || !run.began.After(p.localRuns.lastCrash) {
 		return
 	}
-	p.runs.broken = append(p.runs.broken, run)
-	if !p.runs.looking {
-		p.runs.looking = true
-		p.runs.brokeAt = p.ports.Clock.Now()
-		time.AfterFunc(settleTime, p.lookAtOwn)
+	p.localRuns.broken = append(p.localRuns.broken, run)
+	if !p.localRuns.checking {
+		p.localRuns.checking = true
+		p.localRuns.firstBrokenAt = p.ports.Clock.Now()
+		time.AfterFunc(crashCheckDelay, p.checkForCrash)
 	}
 }
 
-// failedStatus is the first status of answers that say that the target failed.
-const failedStatus = 500
+// minFailureStatus is the lowest status code by which a target reports a failure.
+const minFailureStatus = 500
 
-// brokenOff reports whether the other side ended the connection.
-func brokenOff(err error) bool {
+// closedByPeer reports whether the other side closed the connection.
+func closedByPeer(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return true
@@ -88,46 +92,47 @@
 	return false
 }
 
-// lookAtOwn finds out whether runs broke because the target's process has ended, and tells
-// all nodes then. A connection may break for other reasons.
-func (p *Proxy) lookAtOwn() {
-	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
+// checkForCrash checks whether runs broke because the target's process has ended, and
+// reports the crash to all nodes if so. Connections may also break for other reasons.
+func (p *Proxy) checkForCrash() {
+	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
-	ended := p.ports.Target.Refused(ctx, p.config.TargetAddress)
-	crash, crashed := p.endLook(ended)
-	own := p.staying()
-	if !crashed || own == nil {
+	exited := p.ports.Target.Refused(ctx, p.config.TargetAddress)
+	crash, crashed := p.finishCrashCheck(exited)
+	local := p.stayingTarget()
+	if !crashed || local == nil {
 		return
 	}
 	p.ports.Meter.Count(port.MetricTargetCrashes, "", 1)
-	p.tellCrash(own, &crash)
+	p.logCrash(local, &crash)
 	p.crashes.Crashed(crash)
 }
 
-// endLook takes what a look at the target showed, and returns its crash if it has ended.
-func (p *Proxy) endLook(ended bool) (quarantine.Crash, bool) {
+// finishCrashCheck records the result of a check, and returns the crash if the process
+// has ended.
+func (p *Proxy) finishCrashCheck(exited bool) (quarantine.Crash, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	suspects := p.suspects()
-	p.runs.broken, p.runs.looking = nil, false
-	if !ended {
+	p.localRuns.broken, p.localRuns.checking = nil, false
+	if !exited {
 		return quarantine.Crash{}, false
 	}
-	crash := quarantine.Crash{ID: p.random.Uint64(), Answered: p.runs.answered, Suspects: suspects}
-	p.runs.crashed, p.runs.answered = p.ports.Clock.Now(), false
+	crash := quarantine.Crash{ID: p.random.Uint64(), Answered: p.localRuns.answeredSince, Suspects: suspects}
+	p.localRuns.lastCrash, p.localRuns.answeredSince = p.ports.Clock.Now(), false
 	return crash, true
 }
 
-// suspects returns the requests that ran when the first connection broke, the latest first.
-// It must be called with the mutex held.
+// suspects returns the requests that were running when the first connection broke, the
+// latest first. It must be called with the mutex held.
 func (p *Proxy) suspects() []quarantine.Fingerprint {
-	runs := slices.Clone(p.runs.broken)
-	for _, run := range p.runs.running {
-		if run.began.Before(p.runs.brokeAt) {
+	runs := slices.Clone(p.localRuns.broken)
+	for _, run := range p.localRuns.running {
+		if run.began.Before(p.localRuns.firstBrokenAt) {
 			runs = append(runs, run)
 		}
 	}
-	slices.SortFunc(runs, func(a, b ownRun) int { return b.began.Compare(a.began) })
+	slices.SortFunc(runs, func(a, b localRun) int { return b.began.Compare(a.began) })
 	var suspects []quarantine.Fingerprint
 	for _, run := range runs {
 		if !slices.Contains(suspects, run.request) {
@@ -137,54 +142,54 @@
 	return suspects
 }
 
-// staying returns the VM's own target, or nil if it was to end: the requests that it ran are
-// not to blame then.
-func (p *Proxy) staying() *mesh.Member {
-	picture := p.picture.Load()
-	if picture == nil || picture.Local == nil || !picture.Local.DrainingSince.IsZero() || !picture.Local.UsableUntil.IsZero() {
+// stayingTarget returns the local target, or nil if it was leaving: then its end is
+// expected and not caused by the requests that it ran.
+func (p *Proxy) stayingTarget() *mesh.Member {
+	snapshot := p.snapshot.Load()
+	if snapshot == nil || snapshot.Local == nil || !snapshot.Local.DrainingSince.IsZero() || !snapshot.Local.UsableUntil.IsZero() {
 		return nil
 	}
-	return picture.Local
+	return snapshot.Local
 }
 
-func (p *Proxy) tellCrash(own *mesh.Member, c *quarantine.Crash) {
-	var texts []string
-	for _, request := range c.Suspects[:min(len(c.Suspects), mostLoggedSuspects)] {
-		texts = append(texts, request.String())
+func (p *Proxy) logCrash(local *mesh.Member, c *quarantine.Crash) {
+	var fingerprints []string
+	for _, request := range c.Suspects[:min(len(c.Suspects), maxLoggedSuspects)] {
+		fingerprints = append(fingerprints, request.String())
 	}
-	p.ports.Log.Warn().Str(logfield.Target, own.ID).Bool(logfield.HadAnswered, c.Answered).
-		Int(logfield.Running, len(c.Suspects)).Str(logfield.Fingerprint, strings.Join(texts, " ")).Msg("target crashed")
+	p.ports.Log.Warn().Str(logfield.Target, local.ID).Bool(logfield.HadAnswered, c.Answered).
+		Int(logfield.Running, len(c.Suspects)).Str(logfield.Fingerprint, strings.Join(fingerprints, " ")).Msg("target crashed")
 }
 
-// runBody tells how the reading of a run's answer ended.
-type runBody struct {
+// observedBody is a response body that reports how reading it ended.
+type observedBody struct {
 	io.ReadCloser
-	// ended is called once, with nil where the whole body was read.
-	ended func(err error)
+	// onEnd is called once, with nil if the whole body was read.
+	onEnd func(err error)
 }
 
 // Read implements io.Reader.
-func (b *runBody) Read(p []byte) (int, error) {
+func (b *observedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.end(nil)
+		b.notifyEnd(nil)
 	} else if err != nil {
-		b.end(err)
+		b.notifyEnd(err)
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (b *runBody) Close() error {
-	b.end(errGivenUp)
+func (b *observedBody) Close() error {
+	b.notifyEnd(errBodyAbandoned)
 	return b.ReadCloser.Close()
 }
 
-func (b *runBody) end(err error) {
-	if b.ended != nil {
-		b.ended(err)
-		b.ended = nil
+func (b *observedBody) notifyEnd(err error) {
+	if b.onEnd != nil {
+		b.onEnd(err)
+		b.onEnd = nil
 	}
 }
 
-var errGivenUp = errors.New("the answer was not read to its end")
+var errBodyAbandoned = errors.New("response body closed before its end")
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -20,11 +20,11 @@
 	"tamarackquay/internal/quarantine"
 )
 
-// poisonPath crashes each target that begins to run it.
+// poisonPath is the path of requests that crash each target that starts to run them.
 const poisonPath = "/idempotent/poison"
 
-// share lets all nodes know the same of crashes, as feeds do.
-func (f *fleet) share() *quarantine.Shared {
+// shareCrashes makes all nodes use the same crash reports, as if exchanged over feeds.
+func (f *fleet) shareCrashes() *quarantine.Shared {
 	shared := quarantine.NewShared(wallClock{})
 	for _, p := range f.proxies {
 		p.crashes = shared
@@ -32,18 +32,19 @@
 	return shared
 }
 
-// crash ends a target's process. Its listener and all its connections close.
+// crash ends a target's process: its listener and all its connections are closed.
 func (s *testTarget) crash() { _ = s.server.Load().Close() }
 
-// restart lets a target that crashed listen again.
+// restart makes a crashed target listen again.
 func (s *testTarget) restart(t *testing.T) {
 	listener, err := net.Listen("tcp", s.address)
 	assert.NilError(t, err)
-	s.server.Store(serveUntilEnd(t, listener, s))
+	s.server.Store(serveUntilCleanup(t, listener, s))
 }
 
-// crashesUnder lets all targets crash under the poison and run all else for a time.
-func (f *fleet) crashesUnder(crashed *atomic.Int32, work time.Duration) {
+// crashOnPoison makes all targets crash on poisonPath, and run other requests for the
+// given time.
+func (f *fleet) crashOnPoison(crashed *atomic.Int32, work time.Duration) {
 	for _, target := range f.targets {
 		target.serve = func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == poisonPath {
@@ -53,7 +54,7 @@
 				return
 			}
 			time.Sleep(work)
-			target.runs(w, r)
+			target.respond(w, r)
 		}
 	}
 }
@@ -62,7 +63,8 @@
 	return port.Reason(w.Header().Get(callhttp.HeaderReason))
 }
 
-// warmUp lets each target answer a request, so that its crash says something.
+// warmUp sends a request to each target: only a target that answered before its crash
+// makes its requests suspects.
 func (f *fleet) warmUp(t *testing.T) {
 	t.Helper()
 	for i, target := range f.targets {
@@ -71,7 +73,7 @@
 				f.proxies[i].stats[other.id].Failed(time.Now())
 			}
 		}
-		assert.Equal(t, f.ask(i, "GET", fmt.Sprint("/idempotent/warm", i), "").Code, http.StatusOK)
+		assert.Equal(t, f.send(i, "GET", fmt.Sprint("/idempotent/warm", i), "").Code, http.StatusOK)
 	}
 }
 
@@ -86,22 +88,22 @@
 	}, poll.WithDelay(time.Millisecond))
 }
 
-// Guards against a request that crashes one target after another, and against refusing those
-// that ran beside it.
+// Guards against a request that crashes one target after another, and against refusing
+// the requests that were running at the same time.
 func TestRequestThatCrashesTargetsIsRefused(t *testing.T) {
 	f := newFleet(t, 6)
-	shared := f.share()
+	shared := f.shareCrashes()
 	f.warmUp(t)
 	var crashed atomic.Int32
-	f.crashesUnder(&crashed, 20*time.Millisecond)
-	var beside sync.WaitGroup
+	f.crashOnPoison(&crashed, 20*time.Millisecond)
+	var concurrent sync.WaitGroup
 	var refused atomic.Int32
 	for i := range 60 {
-		beside.Go(func() {
+		concurrent.Go(func() {
 			time.Sleep(time.Duration(i) * 5 * time.Millisecond)
 			path := fmt.Sprint("/idempotent/beside", i)
 			for range 4 {
-				w := f.ask(i%len(f.proxies), "GET", path, "")
+				w := f.send(i%len(f.proxies), "GET", path, "")
 				if reasonOf(w) == port.ReasonQuarantined {
 					refused.Add(1)
 				}
@@ -116,10 +118,10 @@
 		assert.Assert(t, i < 20, "%d targets crashed", crashed.Load())
 		known := shared.Count(fingerprint)
 		before := crashed.Load()
-		w := f.ask(i%len(f.proxies), "GET", poisonPath, "")
+		w := f.send(i%len(f.proxies), "GET", poisonPath, "")
 		assert.Assert(t, w.Code != http.StatusOK)
 		if crashed.Load() > before {
-			waitFor(t, "the crash is told", func() bool {
+			waitFor(t, "the crash is reported", func() bool {
 				return shared.Count(fingerprint) > known || shared.Quarantined(fingerprint) > 0
 			})
 		}
@@ -127,14 +129,14 @@
 	reached := crashed.Load()
 	assert.Assert(t, reached <= 4, "%d", reached)
 	for i := range f.proxies {
-		w := f.ask(i, "GET", poisonPath, "")
+		w := f.send(i, "GET", poisonPath, "")
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, reasonOf(w), port.ReasonQuarantined)
 		seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 		assert.NilError(t, err)
 		assert.Assert(t, seconds > 60, "%f", seconds)
 	}
-	beside.Wait()
+	concurrent.Wait()
 	assert.Equal(t, crashed.Load(), reached)
 	assert.Equal(t, refused.Load(), int32(0))
 }
@@ -143,8 +145,8 @@
 	return quarantine.FingerprintOf(&quarantine.Content{Method: "GET", Host: "h", URI: path})
 }
 
-// Guards against suspecting requests for connections that break while the target lives, and for
-// a target that was to leave.
+// Guards against suspecting requests when connections break while the target keeps
+// running, or when a target that was leaving ends.
 func TestWhatIsNoCrash(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
@@ -155,17 +157,17 @@
 		{"a target crashes", func(f *fleet) func(http.ResponseWriter, *http.Request) {
 			return func(http.ResponseWriter, *http.Request) { f.targets[0].crash() }
 		}, false, 1},
-		{"an answer is lost", func(*fleet) func(http.ResponseWriter, *http.Request) {
+		{"a response is lost", func(*fleet) func(http.ResponseWriter, *http.Request) {
 			return func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 		}, false, 0},
-		{"an answer breaks off", func(*fleet) func(http.ResponseWriter, *http.Request) {
+		{"a response breaks off", func(*fleet) func(http.ResponseWriter, *http.Request) {
 			return func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set(headers.Signature, "proof")
 				w.Header().Set("Content-Length", "100")
 				_, _ = w.Write([]byte("half"))
 			}
 		}, false, 0},
-		{"a target that leaves ends", func(f *fleet) func(http.ResponseWriter, *http.Request) {
+		{"a leaving target ends", func(f *fleet) func(http.ResponseWriter, *http.Request) {
 			return func(http.ResponseWriter, *http.Request) { f.targets[0].crash() }
 		}, true, 0},
 	} {
@@ -174,33 +176,34 @@
 			p := f.proxies[0]
 			f.targets[0].serve = test.serve(f)
 			if test.leave {
-				picture := *p.picture.Load()
-				own := *picture.Local
-				own.DrainingSince = time.Now()
-				picture.Local = &own
-				p.SetSnapshot(&picture)
+				snapshot := *p.snapshot.Load()
+				local := *snapshot.Local
+				local.DrainingSince = time.Now()
+				snapshot.Local = &local
+				p.SetSnapshot(&snapshot)
 			}
-			f.ask(0, "POST", "/once/x", "filing")
-			waitFor(t, "the target is looked at", func() bool {
+			f.send(0, "POST", "/once/x", "filing")
+			waitFor(t, "the target is checked", func() bool {
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				return !p.runs.looking && len(p.runs.running) == 0
+				return !p.localRuns.checking && len(p.localRuns.running) == 0
 			})
 			fingerprint := quarantine.FingerprintOf(&quarantine.Content{
 				Method: "POST", Host: "h", URI: "/once/x", Length: 6, Body: []byte("filing"),
 			})
-			waitForCount(t, p.crashes, fingerprint, test.want)
+			waitForCrashCount(t, p.crashes, fingerprint, test.want)
 		})
 	}
 }
 
-func waitForCount(t *testing.T, crashes *quarantine.Shared, request quarantine.Fingerprint, want int) {
+func waitForCrashCount(t *testing.T, crashes *quarantine.Shared, request quarantine.Fingerprint, want int) {
 	t.Helper()
 	waitFor(t, fmt.Sprint("count ", want), func() bool { return crashes.Count(request) == want })
 }
 
-// suspect lets requests have run beside so many crashes, each of them beside others.
-func suspect(crashes *quarantine.Shared, times int, paths ...string) {
+// addCrashes reports the given number of crashes with the paths as suspects, each crash
+// together with another suspect.
+func addCrashes(crashes *quarantine.Shared, times int, paths ...string) {
 	for i := range times {
 		c := quarantine.Crash{ID: uint64(i + 1), Answered: true, Suspects: []quarantine.Fingerprint{quarantine.Fingerprint(i + 1)}}
 		for _, path := range paths {
@@ -210,78 +213,81 @@
 	}
 }
 
-// Guards against crashes that can't tell two suspects apart, since both ran.
+// Guards against two suspects that always run at the same time: a crash then doesn't show
+// which of them caused it.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	f := newFleet(t, 1)
-	crashes := f.share()
+	crashes := f.shareCrashes()
 	suspects := []string{"/idempotent/a", "/idempotent/b", "/idempotent/c"}
-	suspect(crashes, isolateFrom, suspects...)
-	var together, most, others atomic.Int32
+	addCrashes(crashes, isolateThreshold, suspects...)
+	var together, maxTogether, others atomic.Int32
 	f.targets[0].serve = func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/idempotent/other") {
 			others.Add(1)
-			f.targets[0].runs(w, r)
+			f.targets[0].respond(w, r)
 			return
 		}
-		most.Store(max(most.Load(), together.Add(1)))
+		maxTogether.Store(max(maxTogether.Load(), together.Add(1)))
 		time.Sleep(10 * time.Millisecond)
 		together.Add(-1)
-		f.targets[0].runs(w, r)
+		f.targets[0].respond(w, r)
 	}
 	var asked sync.WaitGroup
 	for i, path := range suspects {
-		asked.Go(func() { assert.Check(t, f.ask(0, "GET", path, "").Code == http.StatusOK, path) })
-		asked.Go(func() { f.ask(0, "GET", fmt.Sprint("/idempotent/other", i), "") })
+		asked.Go(func() { assert.Check(t, f.send(0, "GET", path, "").Code == http.StatusOK, path) })
+		asked.Go(func() { f.send(0, "GET", fmt.Sprint("/idempotent/other", i), "") })
 	}
 	asked.Wait()
-	assert.Equal(t, most.Load(), int32(1))
+	assert.Equal(t, maxTogether.Load(), int32(1))
 	assert.Equal(t, others.Load(), int32(len(suspects)))
 	for _, path := range suspects {
-		// Each has run to its end and is suspected no more.
+		// Each ran to completion and is no longer suspected.
 		assert.Equal(t, crashes.Count(fingerprintOfPath(path)), 0)
 	}
 }
 
-// Guards against a second target that crashes under a request which ran beside a crash before.
+// Guards against retrying a request that was running during an earlier crash: a second
+// target might crash.
 func TestSuspectIsNotRepeated(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, target := range f.targets {
 		target.serve = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	}
-	suspect(f.share(), 1, "/idempotent/x")
-	assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Code, http.StatusBadGateway)
-	assert.Equal(t, f.arrivals(), 1)
-	assert.Equal(t, f.ask(0, "GET", "/idempotent/y", "").Code, http.StatusBadGateway)
-	assert.Equal(t, f.arrivals(), 3)
+	addCrashes(f.shareCrashes(), 1, "/idempotent/x")
+	assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Code, http.StatusBadGateway)
+	assert.Equal(t, f.totalArrivals(), 1)
+	assert.Equal(t, f.send(0, "GET", "/idempotent/y", "").Code, http.StatusBadGateway)
+	assert.Equal(t, f.totalArrivals(), 3)
 }
 
-// Guards against the crash of a target that started anew which is taken for the one before.
+// Guards against taking the crash of a restarted target for the previous crash.
 func TestEachStartMayCrash(t *testing.T) {
 	f := newFleet(t, 1)
 	crashes := f.proxies[0].crashes
 	fingerprint := fingerprintOfPath(poisonPath)
 	var crashed atomic.Int32
-	f.crashesUnder(&crashed, 0)
+	f.crashOnPoison(&crashed, 0)
 	for count := 1; count <= 2; count++ {
 		f.warmUp(t)
-		f.ask(0, "GET", poisonPath, "")
-		waitForCount(t, crashes, fingerprint, count)
+		f.send(0, "GET", poisonPath, "")
+		waitForCrashCount(t, crashes, fingerprint, count)
 		f.targets[0].restart(t)
 	}
-	// One that never answered tells nothing of what it ran.
-	f.ask(0, "GET", poisonPath, "")
-	waitForCount(t, crashes, fingerprint, 0)
+	// A crash of a target that never answered since its start makes no request a suspect.
+	f.send(0, "GET", poisonPath, "")
+	waitForCrashCount(t, crashes, fingerprint, 0)
 	assert.Assert(t, crashes.Quarantined(fingerprint) > 0)
 }
 
-// Guards against a request that stays suspected at a node which hears of crashes and
-// of no run elsewhere: the answers that it passes on itself clear it.
+// Guards against a request that stays suspected at a node that receives crash reports but
+// no reports of completed runs: a response that the node forwards clears the suspicion as
+// well.
 func TestAnswerClearsItsRequest(t *testing.T) {
 	f := newFleet(t, 2)
 	crashes := quarantine.NewShared(wallClock{})
 	f.proxies[0].crashes = crashes
 	f.proxies[0].stats["t0"].Avoid(time.Now())
-	suspect(crashes, 1, "/idempotent/x")
-	assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Body.String(), "t1 ran /idempotent/x ")
+	addCrashes(crashes, 1, "/idempotent/x")
+	assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Body.String(), "t1 ran /idempotent/x ")
 	assert.Equal(t, crashes.Count(fingerprintOfPath("/idempotent/x")), 0)
 }
--- a/internal/proxy/decisions.go
+++ b/internal/proxy/decisions.go
@@ -16,10 +16,10 @@
 	"tamarackquay/internal/port"
 )
 
-// lineKind is a kind of log line with a budget of its own.
+// lineKind is a kind of log line with its own rate limit.
 type lineKind int
 
-// The kinds, those that explain a complaint first.
+// Kinds of log lines, the most useful for explaining a complaint first.
 const (
 	lineFailure lineKind = iota
 	lineAttempt
@@ -29,91 +29,93 @@
 
 var lineKindNames = [lineKinds]string{"failure", "attempt", "served"}
 
-// linesPerSecond bounds the lines of each kind. What fails is told line by line, up
-// to about what a node fails in a second of overload; of what went well a sample is
-// enough.
+// linesPerSecond limits the log lines of each kind. The limit for failures is about the
+// number of requests that a node fails in a second of overload, so that nearly all are
+// logged. For served requests a sample is enough.
 var linesPerSecond = [lineKinds]rate.Limit{100, 50, 5}
 
-// decisions writes one line for each decision on a request, within a budget for
-// each kind, so that a flood of requests doesn't become a flood of lines.
-type decisions struct {
+// requestLog writes one log line for each decision on a request. Each kind has a rate
+// limit, so that a burst of requests doesn't cause a burst of log lines.
+type requestLog struct {
 	log     *log.Logger
 	meter   port.Meter
 	limits  [lineKinds]*rate.Limiter
-	left    [lineKinds]atomic.Int64
+	dropped [lineKinds]atomic.Int64
 	viewAge func() time.Duration
 }
 
-func newDecisions(ports Ports) *decisions {
-	d := &decisions{log: ports.Log, meter: ports.Meter, viewAge: ports.ViewAge}
-	if d.viewAge == nil {
-		d.viewAge = func() time.Duration { return 0 }
+func newRequestLog(ports Ports) *requestLog {
+	l := &requestLog{log: ports.Log, meter: ports.Meter, viewAge: ports.ViewAge}
+	if l.viewAge == nil {
+		l.viewAge = func() time.Duration { return 0 }
 	}
-	for kind := range d.limits {
-		d.limits[kind] = rate.NewLimiter(linesPerSecond[kind], int(linesPerSecond[kind]))
+	for kind := range l.limits {
+		l.limits[kind] = rate.NewLimiter(linesPerSecond[kind], int(linesPerSecond[kind]))
 	}
-	return d
+	return l
 }
 
-// line begins a line of a kind; nil when the budget is used up.
-func (d *decisions) line(now time.Time, kind lineKind) *log.Entry {
-	if !d.limits[kind].AllowN(now, 1) {
-		d.left[kind].Add(1)
+// newLine begins a line of a kind; it returns nil if the rate limit is exceeded.
+func (l *requestLog) newLine(now time.Time, kind lineKind) *log.Entry {
+	if !l.limits[kind].AllowN(now, 1) {
+		l.dropped[kind].Add(1)
 		return nil
 	}
 	if kind == lineFailure {
-		return d.log.Warn()
+		return l.log.Warn()
 	}
-	return d.log.Info()
+	return l.log.Info()
 }
 
-// tellLeftOut tells how many lines were left out since it was last called.
-func (d *decisions) tellLeftOut() {
-	for kind := range d.left {
-		if count := d.left[kind].Swap(0); count > 0 {
-			d.meter.Count(port.MetricLinesDropped, lineKindNames[kind], int(count))
-			d.log.Info().Str(logfield.Kind, lineKindNames[kind]).Int64(logfield.Lines, count).Msg("lines left out")
+// logDropped logs how many lines were dropped since the last call.
+func (l *requestLog) logDropped() {
+	for kind := range l.dropped {
+		if count := l.dropped[kind].Swap(0); count > 0 {
+			l.meter.Count(port.MetricLinesDropped, lineKindNames[kind], int(count))
+			l.log.Info().Str(logfield.Kind, lineKindNames[kind]).Int64(logfield.Lines, count).Msg("lines left out")
 		}
 	}
 }
 
 func millis(d time.Duration) int64 { return d.Milliseconds() }
 
-// about adds what a flight was decided by.
-func (d *decisions) about(entry *log.Entry, f *flight, now time.Time) *log.Entry {
+// withRequest adds the state of the request on which decisions are based.
+func (l *requestLog) withRequest(entry *log.Entry, f *forwarder, now time.Time) *log.Entry {
 	return entry.Str(logfield.Request, f.id).Str(logfield.Fingerprint, f.fingerprint.String()).Str(logfield.Route, f.route.Name).Str(logfield.Service, f.service).
-		Int(logfield.Offers, f.offers).Int(logfield.Arrivals, f.arrivals).
+		Int(logfield.Offers, f.attempts).Int(logfield.Arrivals, f.arrivals).
 		Int64(logfield.After, millis(now.Sub(f.began))).Int64(logfield.Left, millis(f.deadline.Sub(now))).
-		Uint64(logfield.Version, f.picture.Table.Config.Version).Int64(logfield.ViewAge, millis(d.viewAge()))
+		Uint64(logfield.Version, f.snapshot.Table.Config.Version).Int64(logfield.ViewAge, millis(l.viewAge()))
 }
 
-func (d *decisions) served(now time.Time, f *flight, a *answer) {
-	entry := d.line(now, lineServed)
+// served logs a request that got a response.
+func (l *requestLog) served(now time.Time, f *forwarder, resp *bufferedResponse) {
+	entry := l.newLine(now, lineServed)
 	if entry == nil {
 		return
 	}
-	d.about(entry, f, now).Str(logfield.Outcome, logfield.Served).Int(logfield.Status, a.response.Status).
-		Str(logfield.Target, f.last).Msg("request")
+	l.withRequest(entry, f, now).Str(logfield.Outcome, logfield.Served).Int(logfield.Status, resp.response.Status).
+		Str(logfield.Target, f.lastTarget).Msg("request")
 }
 
-func (d *decisions) brokenOff(now time.Time, f *flight, err error) {
-	entry := d.line(now, lineFailure)
+// aborted logs a response that broke off while it was written to the caller.
+func (l *requestLog) aborted(now time.Time, f *forwarder, err error) {
+	entry := l.newLine(now, lineFailure)
 	if entry == nil {
 		return
 	}
-	d.about(entry, f, now).Str(logfield.Outcome, logfield.BrokenOff).Str(logfield.Target, f.last).
+	l.withRequest(entry, f, now).Str(logfield.Outcome, logfield.BrokenOff).Str(logfield.Target, f.lastTarget).
 		Str(logfield.Error, err.Error()).Msg("request")
 }
 
-// ended tells of a request without an answer. The flight is nil when the
-// request was refused before it had a route.
-func (d *decisions) ended(now time.Time, id string, f *flight, gone bool, err error) {
-	entry := d.line(now, lineFailure)
+// failed logs a request that got no response. The forwarder is nil if the request was
+// refused before its route was found.
+func (l *requestLog) failed(now time.Time, id string, f *forwarder, disconnected bool, err error) {
+	entry := l.newLine(now, lineFailure)
 	if entry == nil {
 		return
 	}
 	if f != nil {
-		entry = d.about(entry, f, now).Str(logfield.Target, f.last)
+		entry = l.withRequest(entry, f, now).Str(logfield.Target, f.lastTarget)
 	} else {
 		entry = entry.Str(logfield.Request, id)
 	}
@@ -124,19 +126,19 @@
 	} else {
 		entry = entry.Str(logfield.Outcome, logfield.Unknown).Str(logfield.Error, err.Error())
 	}
-	entry.Bool(logfield.CallerGone, gone).Msg("request")
+	entry.Bool(logfield.CallerGone, disconnected).Msg("request")
 }
 
-// belief is what an offer was decided by.
-type belief struct {
+// lastLoad is the last reported load of a target and its age when an attempt is sent.
+type lastLoad struct {
 	load placement.Load
 	age  time.Duration
 }
 
-// failedAttempt tells of an offer that got no answer, with the load and the
-// entry of the target by which it was chosen.
-func (d *decisions) failedAttempt(now time.Time, f *flight, member *mesh.Member, attempt string, b belief, err error) {
-	entry := d.line(now, lineAttempt)
+// attemptFailed logs an attempt without a successful response, with the load and the
+// revision of the target's entry by which the target was chosen.
+func (l *requestLog) attemptFailed(now time.Time, f *forwarder, member *mesh.Member, attemptID string, last lastLoad, err error) {
+	entry := l.newLine(now, lineAttempt)
 	if entry == nil {
 		return
 	}
@@ -144,16 +146,16 @@
 	if errors.As(err, &refusal) {
 		entry = entry.Str(logfield.Reason, string(refusal.Reason))
 	}
-	d.about(entry, f, now).Str(logfield.Outcome, logfield.Failed).Str(logfield.Target, member.ID).Str(logfield.Attempt, attempt).
+	l.withRequest(entry, f, now).Str(logfield.Outcome, logfield.Failed).Str(logfield.Target, member.ID).Str(logfield.Attempt, attemptID).
 		Uint64(logfield.TargetRevision, member.Revision).
-		Str(logfield.Believed, fmt.Sprintf("%d/%d/%d", b.load.Running, b.load.Waiting, b.load.Slots)).
-		Int64(logfield.BelievedAge, millis(b.age)).Str(logfield.Error, err.Error()).Msg("attempt")
+		Str(logfield.Believed, fmt.Sprintf("%d/%d/%d", last.load.Running, last.load.Waiting, last.load.Slots)).
+		Int64(logfield.BelievedAge, millis(last.age)).Str(logfield.Error, err.Error()).Msg("attempt")
 }
 
-// ownFailed tells what the owner node decided on a request of another node, or
-// what became of it at the target.
-func (d *decisions) ownFailed(now time.Time, id string, t *terms, received time.Time, word loadWord, err error) {
-	entry := d.line(now, lineAttempt)
+// localFailed logs a request of another node that the owner node refused or that failed
+// at the local target.
+func (l *requestLog) localFailed(now time.Time, id string, meta *attemptMeta, received time.Time, report loadReport, err error) {
+	entry := l.newLine(now, lineAttempt)
 	if entry == nil {
 		return
 	}
@@ -163,11 +165,11 @@
 		outcome = logfield.Refused
 		entry = entry.Str(logfield.Reason, string(refusal.Reason)).Int64(logfield.RetryAfter, millis(refusal.RetryAfter))
 	}
-	entry.Str(logfield.Request, id).Str(logfield.Fingerprint, t.fingerprint.String()).Str(logfield.Route, t.route).Str(logfield.Attempt, t.attempt).Str(logfield.Outcome, outcome).
-		Int64(logfield.After, millis(now.Sub(received))).Int64(logfield.Left, millis(t.budget-now.Sub(received))).
-		Str(logfield.Believed, fmt.Sprintf("%d/%d/%d", word.Running, word.Waiting, word.Slots)).
-		Int64(logfield.ViewAge, millis(d.viewAge())).Str(logfield.Error, err.Error()).Msg("own target")
+	entry.Str(logfield.Request, id).Str(logfield.Fingerprint, meta.fingerprint.String()).Str(logfield.Route, meta.route).Str(logfield.Attempt, meta.attemptID).Str(logfield.Outcome, outcome).
+		Int64(logfield.After, millis(now.Sub(received))).Int64(logfield.Left, millis(meta.budget-now.Sub(received))).
+		Str(logfield.Believed, fmt.Sprintf("%d/%d/%d", report.Running, report.Waiting, report.Slots)).
+		Int64(logfield.ViewAge, millis(l.viewAge())).Str(logfield.Error, err.Error()).Msg("own target")
 }
 
-// callerGone reports whether the caller of a request has closed its connection.
-func callerGone(r *http.Request) bool { return r.Context().Err() != nil }
+// callerDisconnected reports whether the caller of a request has closed its connection.
+func callerDisconnected(r *http.Request) bool { return r.Context().Err() != nil }
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -15,155 +15,156 @@
 	"tamarackquay/internal/requestbody"
 )
 
-// Times of the entry node.
+// Delays and timeouts of the entry node.
 const (
-	// retryNotReady is when to come back to a node that knows no configuration
-	// yet: it reads one 0.03 to 0.32 s after its start, as 18 and 86 VMs that
-	// started together did.
+	// retryNotReady is the Retry-After of a node without a configuration. A node reads
+	// its first one 0.03 to 0.32 s after its start, with 18 and with 86 VMs starting at
+	// the same time.
 	retryNotReady = 200 * time.Millisecond
-	// retryElsewhere is when to come back from a node that takes no more callers: other
-	// nodes take them at once.
+	// retryElsewhere is the Retry-After of a node that accepts no more callers; other
+	// nodes accept them immediately.
 	retryElsewhere = 50 * time.Millisecond
-	// answerMargin is how long before a caller stops waiting it is answered,
-	// so that the answer is there in time.
-	answerMargin = 10 * time.Millisecond
-	// defaultTimeout bounds requests of routes without a timeout whose callers
-	// give none.
+	// responseMargin is how long before the end of the caller's timeout a response is
+	// sent, so that it arrives in time.
+	responseMargin = 10 * time.Millisecond
+	// defaultTimeout applies if neither the route nor the caller sets a timeout.
 	defaultTimeout = 30 * time.Second
 )
 
-// ServeCaller serves a caller's request; it is the only writer of the answer.
+// ServeCaller serves a caller's request; nothing else writes its response.
 func (p *Proxy) ServeCaller(w http.ResponseWriter, r *http.Request) {
-	p.open.Add(1)
-	defer p.open.Add(-1)
-	f, err := p.newFlight(r)
+	p.inFlight.Add(1)
+	defer p.inFlight.Add(-1)
+	f, err := p.newForwarder(r)
 	if err == nil {
-		var a *answer
-		a, err = f.fly(r.Context())
+		var resp *bufferedResponse
+		resp, err = f.forward(r.Context())
 		if err == nil {
-			p.deliver(w, f, a)
+			p.respond(w, f, resp)
 			return
 		}
 	}
 	p.refuse(w, r, f, err)
 }
 
-// newFlight finds the route of a request and reads its body.
-func (p *Proxy) newFlight(r *http.Request) (*flight, error) {
+// newForwarder finds the route of a request and reads its body.
+func (p *Proxy) newForwarder(r *http.Request) (*forwarder, error) {
 	now := p.ports.Clock.Now()
-	picture := p.picture.Load()
-	if picture == nil || picture.Table == nil {
+	snapshot := p.snapshot.Load()
+	if snapshot == nil || snapshot.Table == nil {
 		return nil, port.Refuse(port.ReasonNotReady, retryNotReady, "this node has no configuration yet")
 	}
-	route := picture.Table.Route(r.Host, r.URL.Path)
+	route := snapshot.Table.Route(r.Host, r.URL.Path)
 	if route == nil {
 		return nil, port.Refuse(port.ReasonUnknownRoute, 0, "no route for this host and path")
 	}
-	limits := picture.Table.Config.Limits
+	limits := snapshot.Table.Config.Limits
 	if limits.HeaderBytes > 0 && callhttp.HeaderBytes(r) > limits.HeaderBytes {
 		return nil, port.Refuse(port.ReasonHeaderTooLarge, 0, "the headers are over %d bytes", limits.HeaderBytes)
 	}
 	if limits.BodyBytes > 0 && r.ContentLength > limits.BodyBytes {
 		return nil, port.Refuse(port.ReasonBodyTooLarge, 0, "the body is over %d bytes", limits.BodyBytes)
 	}
-	if p.endsBefore(now.Add(p.timeLeft(r, route))) {
+	if p.stopsBefore(now.Add(p.timeLeft(r, route))) {
 		return nil, port.Refuse(port.ReasonStopping, retryElsewhere, "this node is stopping")
 	}
 	body, length, err := requestbody.Read(r.Body, r.ContentLength)
 	if err != nil {
 		return nil, &port.Unknown{Stage: "body", Cause: err}
 	}
-	f := &flight{
-		proxy: p, picture: picture, route: route, began: now,
+	f := &forwarder{
+		proxy: p, snapshot: snapshot, route: route, began: now,
 		method: r.Method, uri: r.RequestURI, host: r.Host, header: http.Header{},
 		body: body, length: length, id: r.Header.Get(p.config.Headers.RequestID),
 		tried: map[string]bool{},
 	}
-	f.deadline = now.Add(p.timeLeft(r, route) - answerMargin)
-	if wait, ok := p.callerWaits(r); ok {
-		f.callerEnds = now.Add(wait)
+	f.deadline = now.Add(p.timeLeft(r, route) - responseMargin)
+	if wait, ok := p.callerTimeout(r); ok {
+		f.callerDeadline = now.Add(wait)
 	}
 	f.fingerprint = fingerprintOf(f)
-	f.suspicion = p.crashes.Count(f.fingerprint)
-	f.first = p.firstAttempt(f)
+	f.crashCount = p.crashes.Count(f.fingerprint)
+	f.firstAt = p.firstAttempt(f)
 	callhttp.CopyHeader(f.header, r.Header)
 	f.header[p.config.Headers.CallerService] = []string{*p.service.Load()}
-	f.service = p.pickService(picture, route)
+	f.service = p.pickService(snapshot, route)
 	return f, nil
 }
 
-// endsBefore reports whether a stopping node that callers have left by now may end
-// before a time. It takes no request on a connection that was kept open which it might
-// have to cut; calls of runs that are surely over go on.
-func (p *Proxy) endsBefore(end time.Time) bool {
-	return p.ownStopped.Load() && end.After(*p.endsBy.Load())
+// stopsBefore reports whether this node may stop before end. It applies once callers have
+// been moved to other nodes: requests on connections that were kept open are refused if
+// they might be cut off by the stop. Requests certain to finish in time, such as calls
+// made by the local target, are still served.
+func (p *Proxy) stopsBefore(end time.Time) bool {
+	return p.localStopped.Load() && end.After(*p.stopDeadline.Load())
 }
 
-// timeLeft is the shorter of what the caller and the route allow.
+// timeLeft returns the shorter of the caller's timeout and the route's timeout.
 func (p *Proxy) timeLeft(r *http.Request, route *mesh.Route) time.Duration {
 	left := defaultTimeout
 	if route.Timeout > 0 {
 		left = route.Timeout
 	}
-	if wait, ok := p.callerWaits(r); ok {
+	if wait, ok := p.callerTimeout(r); ok {
 		return min(left, wait)
 	}
 	return left
 }
 
-// callerWaits is how long the caller says that it waits.
-func (p *Proxy) callerWaits(r *http.Request) (time.Duration, bool) {
+// callerTimeout returns the timeout given by the caller in the deadline header.
+func (p *Proxy) callerTimeout(r *http.Request) (time.Duration, bool) {
 	millis, err := strconv.ParseInt(r.Header.Get(p.config.Headers.Deadline), 10, 64)
-	if err != nil || millis < 0 || millis > maxCallerWait.Milliseconds() {
+	if err != nil || millis < 0 || millis > maxCallerTimeout.Milliseconds() {
 		return 0, false
 	}
 	return time.Duration(millis) * time.Millisecond, true
 }
 
-// maxCallerWait bounds what callers may say: a number that is far too large would
-// overflow a time, and its caller would count as gone.
-const maxCallerWait = 24 * time.Hour
+// maxCallerTimeout is the longest timeout accepted from callers. A much larger number
+// would overflow time.Duration, and the caller would be treated as disconnected.
+const maxCallerTimeout = 24 * time.Hour
 
-func (p *Proxy) pickService(picture *Snapshot, route *mesh.Route) string {
+func (p *Proxy) pickService(snapshot *Snapshot, route *mesh.Route) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.splitter.Pick(picture.Table.Config, route)
+	return p.splitter.Pick(snapshot.Table.Config, route)
 }
 
-// deliver passes an answer on. What is buffered is known to be whole; a body
-// too large to buffer ends broken for the caller where it breaks.
-func (p *Proxy) deliver(w http.ResponseWriter, f *flight, a *answer) {
+// respond writes a response to the caller. A buffered response is known to be complete.
+// If a body too large to buffer breaks off, the caller's response breaks off at the same
+// place.
+func (p *Proxy) respond(w http.ResponseWriter, f *forwarder, resp *bufferedResponse) {
 	p.closeWhenStopping(w)
 	p.ports.Meter.Count(port.MetricAnswered, f.route.Name, 1)
-	if a.response.Status >= http.StatusInternalServerError {
-		p.rememberFailed(f)
+	if resp.response.Status >= http.StatusInternalServerError {
+		p.recordCallerFailure(f)
 	}
 	now := p.ports.Clock.Now()
 	p.ports.Meter.Observe(port.MetricRequestTime, f.route.Name, now.Sub(f.began))
-	p.decisions.served(now, f, a)
-	if a.rest == nil {
-		a.response.ContentLength = int64(len(a.whole))
+	p.requestLog.served(now, f, resp)
+	if resp.rest == nil {
+		resp.response.ContentLength = int64(len(resp.body))
 	} else {
-		defer a.rest.Close()
+		defer resp.rest.Close()
 	}
-	writeAnswer(w, a.response)
-	if err := copyAnswer(w, a); err != nil {
-		p.decisions.brokenOff(p.ports.Clock.Now(), f, err)
+	writeHeader(w, resp.response)
+	if err := copyBody(w, resp); err != nil {
+		p.requestLog.aborted(p.ports.Clock.Now(), f, err)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refuse tells the caller that its request did not run, or that nobody knows.
-func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, f *flight, err error) {
+// refuse responds that the request was not executed, or that its outcome is unknown.
+func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, f *forwarder, err error) {
 	p.closeWhenStopping(w)
 	var refusal *port.Refusal
 	known := errors.As(err, &refusal)
-	p.countEnd(f, err)
+	p.countError(f, err)
 	if f != nil {
-		p.rememberFailed(f)
+		p.recordCallerFailure(f)
 	}
-	p.decisions.ended(p.ports.Clock.Now(), r.Header.Get(p.config.Headers.RequestID), f, callerGone(r), err)
-	if callerGone(r) {
+	p.requestLog.failed(p.ports.Clock.Now(), r.Header.Get(p.config.Headers.RequestID), f, callerDisconnected(r), err)
+	if callerDisconnected(r) {
 		return
 	}
 	if known {
@@ -173,7 +174,7 @@
 	callhttp.WriteError(w, err)
 }
 
-func (p *Proxy) countEnd(f *flight, err error) {
+func (p *Proxy) countError(f *forwarder, err error) {
 	var refusal *port.Refusal
 	if errors.As(err, &refusal) {
 		p.ports.Meter.Count(port.MetricRefused, string(refusal.Reason), 1)
@@ -186,42 +187,42 @@
 	p.ports.Meter.Count(port.MetricUnknown, route, 1)
 }
 
-// answer is a target's answer with its body: whole, or its first part and the
-// rest to be streamed.
-type answer struct {
+// bufferedResponse is a target's response whose body is read completely, or in part with
+// the rest to be streamed.
+type bufferedResponse struct {
 	response *exchangeResponse
-	whole    []byte
+	body     []byte
 	rest     io.ReadCloser
 }
 
-// maxBuffered is how much of an answer's body is held until its end is known.
-// A body that breaks within it can be had again from another target; larger ones
-// are streamed, so that a few of them don't fill the memory of a small VM.
+// maxBuffered is how many bytes of a response body are buffered until its end is known.
+// If a body breaks off within them, the request can be retried at another target. Larger
+// bodies are streamed, so that a few of them don't use up the memory of a small VM.
 const maxBuffered = 1 << 20
 
-// readAnswer reads the body up to maxBuffered.
-func readAnswer(response *exchangeResponse) (*answer, error) {
+// bufferResponse reads the body up to maxBuffered.
+func bufferResponse(response *exchangeResponse) (*bufferedResponse, error) {
 	limit := int64(maxBuffered)
 	size := min(max(response.ContentLength, 0), limit)
-	whole := make([]byte, 0, size+1)
-	for int64(len(whole)) < limit {
-		if len(whole) == cap(whole) {
-			whole = append(whole, 0)[:len(whole)]
+	body := make([]byte, 0, size+1)
+	for int64(len(body)) < limit {
+		if len(body) == cap(body) {
+			body = append(body, 0)[:len(body)]
 		}
-		n, err := response.Body.Read(whole[len(whole):min(cap(whole), maxBuffered)])
-		whole = whole[:len(whole)+n]
+		n, err := response.Body.Read(body[len(body):min(cap(body), maxBuffered)])
+		body = body[:len(body)+n]
 		if err == io.EOF {
-			return &answer{response: response, whole: whole}, response.Body.Close()
+			return &bufferedResponse{response: response, body: body}, response.Body.Close()
 		}
 		if err != nil {
 			_ = response.Body.Close()
 			return nil, err
 		}
 	}
-	return &answer{response: response, whole: whole, rest: response.Body}, nil
+	return &bufferedResponse{response: response, body: body, rest: response.Body}, nil
 }
 
-// alive reports whether the caller still waits at now.
-func (f *flight) alive(ctx context.Context, now time.Time) bool {
+// callerWaiting reports whether the caller is still waiting at now.
+func (f *forwarder) callerWaiting(ctx context.Context, now time.Time) bool {
 	return ctx.Err() == nil && now.Before(f.deadline)
 }
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -22,25 +22,25 @@
 	"tamarackquay/internal/mesh"
 )
 
-// headers are the names that the tests' callers and targets use.
+// headers holds the header names used by the callers and targets of the tests.
 var headers = Headers{
 	RequestID: "X-Id", Deadline: "X-Deadline-Ms", ExpectedTarget: "X-Expected", CallerService: "X-Caller",
 	Signature: "X-Proof", NotExecuted: "X-Did-Not-Run", Load: "X-Load",
 }
 
-// testDrainWork is the fleet's setting; a request is much quicker.
-const testDrainWork = time.Minute
+// testDrainGrace is the DrainGrace of the nodes; requests are much faster.
+const testDrainGrace = time.Minute
 
 type wallClock struct{}
 
 func (wallClock) Now() time.Time { return time.Now() }
 
-// testTarget is a target of the fleet; serve may be replaced by a test.
+// testTarget is a target of the fleet. Tests may replace serve.
 type testTarget struct {
 	id      string
 	arrived atomic.Int32
 	serve   func(w http.ResponseWriter, r *http.Request)
-	// address is where it listens, server its process until it crashes.
+	// address is the listen address; server is the running process until it crashes.
 	address string
 	server  atomic.Pointer[http.Server]
 }
@@ -55,15 +55,15 @@
 	s.serve(w, r)
 }
 
-// runs answers as a target that ran the request.
-func (s *testTarget) runs(w http.ResponseWriter, r *http.Request) {
+// respond responds like a target that ran the request.
+func (s *testTarget) respond(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set(headers.Signature, "proof")
 	fmt.Fprintf(w, "%s ran %s %s", s.id, r.URL, body)
 }
 
-// sheds answers as a target that turns the request away.
-func sheds(load string) func(w http.ResponseWriter, r *http.Request) {
+// shedHandler returns a handler that sheds requests without running them.
+func shedHandler(load string) func(w http.ResponseWriter, r *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headers.NotExecuted, "1")
 		w.Header().Set(headers.Load, load)
@@ -76,22 +76,22 @@
 	proxies []*Proxy
 	targets []*testTarget
 	table   *mesh.Table
-	logs    *safeBuffer
+	logs    *lockedBuffer
 }
 
-// safeBuffer takes the log lines of all nodes.
-type safeBuffer struct {
+// lockedBuffer collects the log lines of all nodes.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *safeBuffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *safeBuffer) String() string {
+func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
@@ -99,22 +99,22 @@
 
 const testSlots = 4
 
-// newFleet starts so many nodes with a target of the service "s" each. The
-// routes lead to it under "/idempotent/" and "/once/".
+// newFleet starts the given number of nodes, each with a target of the service "s". The
+// routes "/idempotent/" and "/once/" lead to this service.
 func newFleet(t testing.TB, count int) *fleet {
-	f := &fleet{logs: &safeBuffer{}, table: mesh.NewTable(&mesh.Config{Version: 1, Routes: []mesh.Route{
+	f := &fleet{logs: &lockedBuffer{}, table: mesh.NewTable(&mesh.Config{Version: 1, Routes: []mesh.Route{
 		testRoute("/idempotent/", mesh.Idempotent), testRoute("/once/", mesh.NonIdempotent),
 	}})}
 	members := make([]*mesh.Member, count)
-	peers := listenOnOnePort(t, count)
+	peers := listenOnSamePort(t, count)
 	for i := range count {
 		target := &testTarget{id: fmt.Sprint("t", i)}
-		target.serve = target.runs
+		target.serve = target.respond
 		f.targets = append(f.targets, target)
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", i+2))
 		assert.NilError(t, err)
 		target.address = listener.Addr().String()
-		target.server.Store(serveUntilEnd(t, listener, target))
+		target.server.Store(serveUntilCleanup(t, listener, target))
 		members[i] = &mesh.Member{Target: mesh.Target{
 			ID: target.id, Service: "s", Address: listener.Addr().String(), FailureDomain: "a", Slots: testSlots, State: mesh.Ready,
 		}}
@@ -129,7 +129,7 @@
 	options := exchange.Options{DialTimeout: 150 * time.Millisecond, IdleTimeout: time.Second, SilenceTimeout: time.Second, MaxIdle: 8}
 	p := New(Config{
 		Headers: headers, FailureDomain: "a", Region: "r", Regions: map[string]string{"a": "r"},
-		TargetAddress: members[i].Address, PeerPort: peers.Addr().(*net.TCPAddr).Port, RetryRatio: 0.2, RetrySlack: 100, DrainGrace: testDrainWork, Seed: uint64(i),
+		TargetAddress: members[i].Address, PeerPort: peers.Addr().(*net.TCPAddr).Port, RetryRatio: 0.2, RetrySlack: 100, DrainGrace: testDrainGrace, Seed: uint64(i),
 	}, Ports{
 		Clock: wallClock{}, Peers: exchange.NewPool(options), Target: exchange.NewPool(options),
 		Log: &log.Logger{
@@ -139,7 +139,7 @@
 	})
 	p.SetService("caller-service")
 	p.SetSnapshot(&Snapshot{Table: f.table, Services: map[string][]*mesh.Member{"s": members}, Local: members[i], Nodes: len(members)})
-	serveUntilEnd(t, peers, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	serveUntilCleanup(t, peers, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != PingPath {
 			p.ServePeer(w, r)
 		}
@@ -154,14 +154,14 @@
 	}
 }
 
-// listenOnOnePort listens on the same port of so many loopback addresses. A port that
-// is free on the first may be taken on another by a process beside this one, so other
-// ports are tried then.
-func listenOnOnePort(t testing.TB, count int) []net.Listener {
+// listenOnSamePort listens on the same port of several loopback addresses. A port that is
+// free on the first address may be in use on another by a different process, so several
+// ports are tried.
+func listenOnSamePort(t testing.TB, count int) []net.Listener {
 	const tries = 20
 	var failed error
 	for range tries {
-		listeners, err := tryOnePort(count)
+		listeners, err := trySamePort(count)
 		if err == nil {
 			return listeners
 		}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func tryOnePort(count int) ([]net.Listener, error) {
+func trySamePort(count int) ([]net.Listener, error) {
 	var listeners []net.Listener
 	port := "0"
 	for i := range count {
@@ -188,31 +188,31 @@
 	return listeners, nil
 }
 
-func serveUntilEnd(t testing.TB, listener net.Listener, handler http.Handler) *http.Server {
+func serveUntilCleanup(t testing.TB, listener net.Listener, handler http.Handler) *http.Server {
 	server := &http.Server{Handler: handler}
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
 	return server
 }
 
-var requests atomic.Int64
+var requestCount atomic.Int64
 
-func nextRequest() string { return fmt.Sprint("request-", requests.Add(1)) }
+func nextRequestID() string { return fmt.Sprint("request-", requestCount.Add(1)) }
 
-// lastRequest is the id of the request that was asked last.
-func lastRequest() string { return fmt.Sprint("request-", requests.Load()) }
+// lastRequestID returns the id of the last request sent.
+func lastRequestID() string { return fmt.Sprint("request-", requestCount.Load()) }
 
-// ask sends a request to a node as a caller does.
-func (f *fleet) ask(node int, method, path, body string) *httptest.ResponseRecorder {
+// send sends a request to a node as a caller does.
+func (f *fleet) send(node int, method, path, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Host = "h"
-	r.Header.Set(headers.RequestID, nextRequest())
+	r.Header.Set(headers.RequestID, nextRequestID())
 	w := httptest.NewRecorder()
 	f.proxies[node].ServeCaller(w, r)
 	return w
 }
 
-func (f *fleet) arrivals() int {
+func (f *fleet) totalArrivals() int {
 	total := 0
 	for _, target := range f.targets {
 		total += int(target.arrived.Load())
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -18,19 +18,19 @@
 
 type exchangeResponse = exchange.Response
 
-// flight is one caller's request with the attempts made for it.
-type flight struct {
+// forwarder forwards one caller's request to targets, in one or more attempts.
+type forwarder struct {
 	proxy    *Proxy
-	picture  *Snapshot
+	snapshot *Snapshot
 	route    *mesh.Route
 	service  string
 	began    time.Time
 	deadline time.Time
-	// callerEnds is when the caller stops waiting; zero when it didn't say.
-	callerEnds time.Time
-	// first is when the caller made its first attempt, before began if it was
-	// refused or failed then. Its target latency counts from there.
-	first time.Time
+	// callerDeadline is when the caller stops waiting; zero if it gave no timeout.
+	callerDeadline time.Time
+	// firstAt is when the caller first sent the request. It is before began if an earlier
+	// try of the caller was refused or failed. The target latency counts from it.
+	firstAt time.Time
 
 	id     string
 	method string
@@ -39,134 +39,137 @@
 	header http.Header
 	body   *requestbody.Body
 	length int64
-	// fingerprint is the same for all attempts and for other callers of the same.
+	// fingerprint is the same for all attempts and for equal requests of other callers.
 	fingerprint quarantine.Fingerprint
-	// suspicion is the number of crashes that the request ran beside before.
-	suspicion int
+	// crashCount is the number of target crashes during which the request was running.
+	crashCount int
 
+	// tried holds the ids of the targets that got an attempt.
 	tried map[string]bool
-	// last is the target of the last offer.
-	last string
-	// offers counts attempts, arrivals those that may have reached a target.
-	offers   int
+	// lastTarget is the target of the last attempt.
+	lastTarget string
+	// attempts counts all attempts, arrivals those that may have reached a target.
+	attempts int
 	arrivals int
-	// full counts targets that refused for want of room.
-	full int
+	// fullTargets counts targets that refused for lack of free slots.
+	fullTargets int
 
-	// repeated is the chance that a repeated run made this request as a call.
-	repeated float64
-	// second says that a second target was asked beside the first.
-	second bool
+	// fromRetry is the probability that this request is a call made by a retried run.
+	fromRetry float64
+	// hedged reports whether a second target was tried in parallel with the first.
+	hedged bool
 
-	// refusal lets the caller come back soonest; unknown is set once any
-	// attempt may have run, and then nothing else may be told.
+	// refusal is the refusal with the shortest Retry-After. unknown is set once any
+	// attempt may have run; the caller then must not get a refusal.
 	refusal *port.Refusal
 	unknown error
-	// failure is a target's own answer that says it failed.
-	failure *answer
+	// failureResponse is a target's own response that reports a failure.
+	failureResponse *bufferedResponse
 }
 
-// Bounds on the search for a target.
+// Limits on the search for a target.
 const (
-	// fullSoon is how many targets may refuse for want of room before the
-	// request asks for a longer wait, and fullMost how many may refuse in all.
-	// Each was the cheapest of those left, so the others are likely full too;
-	// asking them all made nine offers in ten useless under overload.
-	fullSoon, fullMost = 2, 3
-	// maxOffers bounds the offers to nodes for one request. An offer that is
-	// refused costs a round trip, and a service whose nodes are all full is
-	// not asked one by one.
-	maxOffers = 4
-	// noTargetRetry is when to come back while no target of a service is known.
-	noTargetRetry = 500 * time.Millisecond
+	// extendWaitAfter is how many targets may refuse for lack of free slots before the
+	// request asks for a longer wait; maxFullTargets is how many may refuse in total.
+	// Each was the cheapest of the remaining targets, so the others are probably full
+	// too: trying all of them made nine in ten attempts useless under overload.
+	extendWaitAfter, maxFullTargets = 2, 3
+	// maxAttempts limits the attempts of a request, including those refused by the
+	// target's node; the route's MaxAttempts limits those that may have reached a target.
+	// A refused attempt costs a round trip, so the nodes of a service are not tried one
+	// by one when all are full.
+	maxAttempts = 4
+	// retryNoTarget is the Retry-After while no target of a service is known.
+	retryNoTarget = 500 * time.Millisecond
 )
 
-// fly offers the request to one target after another until one answers or
-// another offer is not allowed.
-func (f *flight) fly(ctx context.Context) (*answer, error) {
-	if refusal := f.proxy.quarantined(f.fingerprint); refusal != nil {
+// forward sends the request to one target after another until one responds or no further
+// attempt is allowed.
+func (f *forwarder) forward(ctx context.Context) (*bufferedResponse, error) {
+	if refusal := f.proxy.checkQuarantine(f.fingerprint); refusal != nil {
 		return nil, refusal
 	}
 	f.proxy.countRequest(f)
-	for f.offers < maxOffers && f.full < fullMost {
+	for f.attempts < maxAttempts && f.fullTargets < maxFullTargets {
 		now := f.proxy.ports.Clock.Now()
-		if f.full > 0 && f.overdue(now) {
-			// Its place is behind all that can be in time, wherever it asks. Told
-			// at once, the caller has more time left to come back in.
+		if f.fullTargets > 0 && f.overdue(now) {
+			// At every target, the request would be queued behind all those that can
+			// still be in time. An immediate refusal leaves the caller more time to
+			// retry.
 			break
 		}
-		if !f.alive(ctx, now) {
-			f.refused(port.Refuse(port.ReasonDeadline, noTargetRetry, "the time was over before a target took the request"))
+		if !f.callerWaiting(ctx, now) {
+			f.recordRefusal(port.Refuse(port.ReasonDeadline, retryNoTarget, "the time was over before a target took the request"))
 			break
 		}
-		if refusal := f.proxy.quarantined(f.fingerprint); refusal != nil {
-			f.refused(refusal)
+		if refusal := f.proxy.checkQuarantine(f.fingerprint); refusal != nil {
+			f.recordRefusal(refusal)
 			break
 		}
 		member := f.choose(now)
 		if member == nil {
 			break
 		}
-		if f.arrivals > 0 && !(f.mayRepeat() && f.grantRepeat(now, f.arrivals)) {
+		if f.arrivals > 0 && !(f.unsuspected() && f.takeRetry(now, f.arrivals)) {
 			break
 		}
-		a, err := f.attempt(ctx, now, member)
+		resp, err := f.attempt(ctx, now, member)
 		if err == nil {
-			return a, nil
+			return resp, nil
 		}
 		if ctx.Err() != nil {
-			f.note(err)
+			f.recordError(err)
 			break
 		}
-		if !f.failedOnce(a, err) {
+		if !f.recordFailure(resp, err) {
 			break
 		}
 	}
-	return f.end()
+	return f.result()
 }
 
-// failedOnce counts a failed attempt and reports whether another may follow. The
-// answer is set where the target itself said that it failed.
-func (f *flight) failedOnce(a *answer, err error) bool {
-	if a != nil {
-		f.failure = a
+// recordFailure records a failed attempt and reports whether another may follow. resp is
+// set if the target itself responded with a failure.
+func (f *forwarder) recordFailure(resp *bufferedResponse, err error) bool {
+	if resp != nil {
+		f.failureResponse = resp
 	}
-	return f.mayOfferAgain(err)
+	return f.mayRetry(err)
 }
 
-// end is what the caller gets when no attempt was answered well.
-func (f *flight) end() (*answer, error) {
+// result returns the response or error for the caller after no attempt succeeded.
+func (f *forwarder) result() (*bufferedResponse, error) {
 	switch {
-	case f.failure != nil:
-		return f.failure, nil
+	case f.failureResponse != nil:
+		return f.failureResponse, nil
 	case f.unknown != nil:
 		return nil, f.unknown
 	case f.refusal != nil:
 		return nil, f.refusal
 	}
-	return nil, port.Refuse(port.ReasonNoTarget, noTargetRetry, "no usable target of service %s", f.service)
+	return nil, port.Refuse(port.ReasonNoTarget, retryNoTarget, "no usable target of service %s", f.service)
 }
 
-// failed reports whether an answer says that the target failed, so that another
-// may be asked.
-func (f *flight) failed(a *answer) bool {
-	return a.rest == nil && f.route.Kind.Repeatable() && a.response.Status >= http.StatusInternalServerError
+// isFailure reports whether a response reports a failure of the target after which
+// another target may be tried.
+func (f *forwarder) isFailure(resp *bufferedResponse) bool {
+	return resp.rest == nil && f.route.Kind.Repeatable() && resp.response.Status >= http.StatusInternalServerError
 }
 
-// read buffers the answer and checks that a target made it.
-func (f *flight) read(response *exchangeResponse, cancel func()) (*answer, error) {
-	response.Body = &released{ReadCloser: response.Body, release: cancel}
-	proof := f.proxy.config.Headers.Signature
-	if proof != "" && response.Status < http.StatusMultipleChoices && response.Header.Get(proof) == "" {
+// readResponse buffers the response and checks that it was generated by a target.
+func (f *forwarder) readResponse(response *exchangeResponse, cancel func()) (*bufferedResponse, error) {
+	response.Body = &releasingBody{ReadCloser: response.Body, release: cancel}
+	signature := f.proxy.config.Headers.Signature
+	if signature != "" && response.Status < http.StatusMultipleChoices && response.Header.Get(signature) == "" {
 		_ = response.Body.Close()
-		return nil, errNoProof
+		return nil, errUnsigned
 	}
-	return readAnswer(response)
+	return bufferResponse(response)
 }
 
-var errNoProof = errors.New("a success that no target vouches for")
+var errUnsigned = errors.New("successful response without the signature of a target")
 
-func (f *flight) request(member *mesh.Member) *exchange.Request {
+func (f *forwarder) newRequest(member *mesh.Member) *exchange.Request {
 	header := f.header.Clone()
 	header[f.proxy.config.Headers.ExpectedTarget] = []string{member.ID}
 	r := &exchange.Request{
@@ -179,83 +182,86 @@
 	return r
 }
 
-// send runs the request on the VM's own target or through the other's node.
-func (p *Proxy) send(ctx context.Context, member *mesh.Member, t *terms, r *exchange.Request, now time.Time) (*exchangeResponse, loadWord, error) {
+// send sends the request to the local target, or to the node of another target.
+func (p *Proxy) send(ctx context.Context, member *mesh.Member, meta *attemptMeta, r *exchange.Request, now time.Time) (*exchangeResponse, loadReport, error) {
 	if member.Address == p.config.TargetAddress {
-		return p.own(ctx, t, r, now)
+		return p.runLocal(ctx, meta, r, now)
 	}
-	if refusal := p.assure(member, p.distance(member), t.repeatable); refusal != nil {
-		return nil, loadWord{}, refusal
+	if refusal := p.checkReachable(member, p.distance(member), meta.retryable); refusal != nil {
+		return nil, loadReport{}, refusal
 	}
-	r.Header[headerTerms] = []string{t.encode()}
-	p.countSmall(int(max(r.ContentLength, 0)) + placement.HeaderBytes)
-	// Nodes refuse with bodies of their own, which echo nothing.
+	r.Header[headerMeta] = []string{meta.encode()}
+	p.countUnpaced(int(max(r.ContentLength, 0)) + placement.HeaderBytes)
+	// Refusals of nodes have bodies of their own and don't echo the request id.
 	r.IDHeader = ""
 	address := p.peerAddress(member)
 	response, err := p.ports.Peers.Do(ctx, address, r)
 	if err != nil {
 		if exchange.IsSilence(err) && ctx.Err() == nil {
-			p.noteAway(address)
+			p.markUnreachable(address)
 		}
-		return nil, loadWord{}, p.targetFailure(err)
+		return nil, loadReport{}, p.classifyError(err)
 	}
-	p.noteHeard(address)
-	word, _ := readLoad(response.Header)
-	told := callhttp.ReadError(&http.Response{Header: response.Header, Body: response.Body})
-	if told != nil {
-		return nil, word, told
+	p.recordContact(address)
+	report, _ := readLoadReport(response.Header)
+	peerErr := callhttp.ReadError(&http.Response{Header: response.Header, Body: response.Body})
+	if peerErr != nil {
+		return nil, report, peerErr
 	}
 	if response.Header.Get(p.config.Headers.RequestID) != r.ID {
 		_ = response.Body.Close()
-		return nil, word, &port.Unknown{Stage: "answer", Cause: errors.New("the answer is another request's")}
+		return nil, report, &port.Unknown{Stage: "answer", Cause: errors.New("the response belongs to another request")}
 	}
-	return response, word, nil
+	return response, report, nil
 }
 
-func (p *Proxy) begin(now time.Time, member *mesh.Member) (*placement.Stats, belief) {
+// startAttempt counts an attempt that is about to be sent, and returns the statistics and
+// the last reported load of its target.
+func (p *Proxy) startAttempt(now time.Time, member *mesh.Member) (*placement.Stats, lastLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stats := p.stats[member.ID]
 	if stats == nil {
-		// It left since it was chosen.
+		// The target was removed after it was chosen.
 		stats = &placement.Stats{}
 	}
 	stats.Begin()
 	load, age := stats.Believed(now)
-	return stats, belief{load: load, age: age}
+	return stats, lastLoad{load: load, age: age}
 }
 
-func (p *Proxy) finish(stats *placement.Stats) {
+func (p *Proxy) endAttempt(stats *placement.Stats) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stats.End()
 }
 
-func (p *Proxy) noteAnswer(stats *placement.Stats, route *mesh.Route, word loadWord, way time.Duration, a *answer) {
+// recordResponse updates the statistics of a target and its route after a response.
+func (p *Proxy) recordResponse(stats *placement.Stats, route *mesh.Route, report loadReport, networkTime time.Duration, resp *bufferedResponse) {
 	now := p.ports.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if a.response.Status >= http.StatusInternalServerError {
+	if resp.response.Status >= http.StatusInternalServerError {
 		stats.Failed(now)
 		return
 	}
-	relative := p.workOf(route).Observe(word.held, stats.Factor(), len(a.whole))
-	stats.Answered(now, relative, way)
-	p.hear(now, stats, word)
+	relative := p.workFor(route).Observe(report.holdTime, stats.Factor(), len(resp.body))
+	stats.Answered(now, relative, networkTime)
+	p.recordLoad(now, stats, report)
 }
 
-func (p *Proxy) hear(now time.Time, stats *placement.Stats, word loadWord) {
-	if word.Slots > 0 {
-		stats.Heard(now, word.Load)
+func (p *Proxy) recordLoad(now time.Time, stats *placement.Stats, report loadReport) {
+	if report.Slots > 0 {
+		stats.Heard(now, report.Load)
 	}
 }
 
-// noteFailure judges a target by an attempt that failed.
-func (p *Proxy) noteFailure(stats *placement.Stats, word loadWord, err error) {
+// recordFailure updates the statistics of a target after a failed attempt.
+func (p *Proxy) recordFailure(stats *placement.Stats, report loadReport, err error) {
 	now := p.ports.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hear(now, stats, word)
+	p.recordLoad(now, stats, report)
 	var refusal *port.Refusal
 	if !errors.As(err, &refusal) {
 		stats.Failed(now)
@@ -271,11 +277,11 @@
 	}
 }
 
-// note keeps what an error says of the whole request.
-func (f *flight) note(err error) {
+// recordError keeps the error if it determines the result of the whole request.
+func (f *forwarder) recordError(err error) {
 	var refusal *port.Refusal
 	if errors.As(err, &refusal) {
-		f.refused(refusal)
+		f.recordRefusal(refusal)
 		return
 	}
 	if err != nil {
@@ -283,15 +289,16 @@
 	}
 }
 
-func (f *flight) refused(refusal *port.Refusal) {
+// recordRefusal keeps the refusal with the shortest Retry-After.
+func (f *forwarder) recordRefusal(refusal *port.Refusal) {
 	if f.refusal == nil || refusal.RetryAfter > 0 && refusal.RetryAfter < f.refusal.RetryAfter {
 		f.refusal = refusal
 	}
 }
 
-// mayOfferAgain judges a failed attempt and reports whether another may follow.
-func (f *flight) mayOfferAgain(err error) bool {
-	f.note(err)
+// mayRetry records the error of an attempt and reports whether another may follow.
+func (f *forwarder) mayRetry(err error) bool {
+	f.recordError(err)
 	var refusal *port.Refusal
 	if !errors.As(err, &refusal) {
 		f.arrivals++
@@ -301,7 +308,7 @@
 	case port.ReasonShed, port.ReasonShedWithRoom, port.ReasonMisdirected:
 		f.arrivals++
 	case port.ReasonDeadline, port.ReasonBusy, port.ReasonQueueFull:
-		f.full++
+		f.fullTargets++
 	case port.ReasonBadRequest, port.ReasonQuarantined:
 		return false
 	}
--- a/internal/proxy/hold.go
+++ b/internal/proxy/hold.go
@@ -8,49 +8,51 @@
 	"tamarackquay/internal/placement"
 )
 
-// Weights of what the owner node observes of its own target.
+// Weights of the moving averages over requests at the local target.
 const (
-	holdGain = 0.1
-	failGain = 0.1
+	holdWeight    = 0.1
+	failureWeight = 0.1
 )
 
-// holds is what the owner node saw of its own target: how long requests held a
-// slot, and which part failed. The proxy's mutex guards it.
-type holds struct {
-	mean    time.Duration
-	failing float64
+// localStats holds the observed behavior of the local target: the mean time that requests
+// hold a slot, and the fraction of requests that fail. It is guarded by the proxy's
+// mutex.
+type localStats struct {
+	meanHold    time.Duration
+	failureRate float64
 }
 
-func (p *Proxy) noteHold(held time.Duration, response *exchange.Response, err error) {
+// recordHold updates localStats after a run.
+func (p *Proxy) recordHold(held time.Duration, response *exchange.Response, err error) {
 	failed := 0.0
 	if err != nil || response.Status >= http.StatusInternalServerError {
 		failed = 1
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held.failing += failGain * (failed - p.held.failing)
+	p.localStats.failureRate += failureWeight * (failed - p.localStats.failureRate)
 	if err != nil {
 		return
 	}
-	if p.held.mean == 0 {
-		p.held.mean = held
+	if p.localStats.meanHold == 0 {
+		p.localStats.meanHold = held
 	}
-	p.held.mean += time.Duration(holdGain * float64(held-p.held.mean))
+	p.localStats.meanHold += time.Duration(holdWeight * float64(held-p.localStats.meanHold))
 }
 
-// loadWord is this node's word on its target.
-func (p *Proxy) loadWord(received time.Time, held time.Duration) loadWord {
+// loadReport returns the current load of the local target.
+func (p *Proxy) loadReport(received time.Time, held time.Duration) loadReport {
 	running, waiting := p.gate.Counts()
-	word := loadWord{held: held, spent: p.ports.Clock.Now().Sub(received)}
-	word.Load = placement.Load{Running: running, Waiting: waiting}
-	if picture := p.picture.Load(); picture != nil && picture.Local != nil {
-		word.Slots = picture.Local.Slots
+	report := loadReport{holdTime: held, nodeTime: p.ports.Clock.Now().Sub(received)}
+	report.Load = placement.Load{Running: running, Waiting: waiting}
+	if snapshot := p.snapshot.Load(); snapshot != nil && snapshot.Local != nil {
+		report.Slots = snapshot.Local.Slots
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	word.Hold = p.held.mean
-	word.Failing = p.held.failing
-	word.LinkRate = p.link.Rate()
-	word.LinkWait = p.link.Wait(p.ports.Clock.Now())
-	return word
+	report.Hold = p.localStats.meanHold
+	report.Failing = p.localStats.failureRate
+	report.LinkRate = p.link.Rate()
+	report.LinkWait = p.link.Wait(p.ports.Clock.Now())
+	return report
 }
--- a/internal/proxy/operations_test.go
+++ b/internal/proxy/operations_test.go
@@ -13,22 +13,22 @@
 	"tamarackquay/internal/logfield"
 )
 
-// traced runs tamarackctl trace on the fleet's logs for the last request.
-func (f *fleet) traced(t *testing.T) []trace.Line {
+// trace runs tamarackctl trace on the fleet's logs for the last request.
+func (f *fleet) trace(t *testing.T) []trace.Line {
 	t.Helper()
 	c := trace.New()
 	var out strings.Builder
 	c.SetOut(&out)
 	c.SetIn(strings.NewReader(f.logs.String()))
-	c.SetArgs([]string{lastRequest(), "--output", "json"})
+	c.SetArgs([]string{lastRequestID(), "--output", "json"})
 	assert.NilError(t, c.Execute())
 	var lines []trace.Line
 	assert.NilError(t, json.Unmarshal([]byte(out.String()), &lines))
 	return lines
 }
 
-// messages are the lines as "node message outcome reason".
-func messages(lines []trace.Line) []string {
+// summaries returns the lines as "node message outcome reason".
+func summaries(lines []trace.Line) []string {
 	var got []string
 	for _, line := range lines {
 		text := line.Node + " " + line.Message
@@ -42,16 +42,16 @@
 	return got
 }
 
-// A crew is refused while the target says that it has free slots. The path of
-// docs/OPERATIONS.md leads from the id to the target that shed and its load.
+// A request is refused although the target reports free slots. The steps of
+// docs/OPERATIONS.md lead from the request id to the target that shed it, and its load.
 func TestPathOfARefusalThoughTargetsWereFree(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].Avoid(time.Now())
 	f.proxies[0].config.RetryRatio, f.proxies[0].config.RetrySlack = 0, 0
-	f.targets[1].serve = sheds("1,0,4")
-	f.ask(0, "GET", "/idempotent/x", "")
-	lines := f.traced(t)
-	assert.DeepEqual(t, messages(lines), []string{
+	f.targets[1].serve = shedHandler("1,0,4")
+	f.send(0, "GET", "/idempotent/x", "")
+	lines := f.trace(t)
+	assert.DeepEqual(t, summaries(lines), []string{
 		"n1 own target refused shed-with-room", "n0 attempt failed shed-with-room", "n0 request refused shed-with-room",
 	})
 	assert.Equal(t, lines[0].Fields[logfield.Attempt], lines[1].Fields[logfield.Attempt])
@@ -62,21 +62,21 @@
 	}
 }
 
-// A member doesn't know whether its return was filed. The path leads to the
-// target that broke off, and to the node that saw it.
+// A caller doesn't know whether its non-idempotent request was executed. The trace shows
+// the target that closed the connection, and the node that detected it.
 func TestPathOfAFilingOfUnknownOutcome(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].Avoid(time.Now())
 	f.targets[1].serve = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	f.ask(0, "POST", "/once/x", "filing")
-	lines := f.traced(t)
-	assert.DeepEqual(t, messages(lines), []string{"n1 own target unknown", "n0 attempt failed", "n0 request unknown"})
+	f.send(0, "POST", "/once/x", "filing")
+	lines := f.trace(t)
+	assert.DeepEqual(t, summaries(lines), []string{"n1 own target unknown", "n0 attempt failed", "n0 request unknown"})
 	assert.Equal(t, lines[2].Fields[logfield.Target], "t1")
 	assert.Assert(t, strings.Contains(lines[0].Fields[logfield.Error].(string), "sent without an answer"))
 }
 
-// A download breaks midway at its target. The path shows the break and that the
-// caller got the whole of another target's answer.
+// A response breaks off at its target. The trace shows the failed attempt, and that the
+// caller got the complete response of another target.
 func TestPathOfADownloadThatBroke(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t1"].Failed(time.Now())
@@ -85,21 +85,21 @@
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("half"))
 	}
-	f.ask(0, "GET", "/idempotent/x", "")
-	lines := f.traced(t)
-	assert.DeepEqual(t, messages(lines), []string{"n0 attempt failed", "n0 request served"})
+	f.send(0, "GET", "/idempotent/x", "")
+	lines := f.trace(t)
+	assert.DeepEqual(t, summaries(lines), []string{"n0 attempt failed", "n0 request served"})
 	assert.Assert(t, strings.Contains(lines[0].Fields[logfield.Error].(string), "unexpected EOF"))
 }
 
-// Requests fail by the thousand. The lines stay within the budget, and what was
-// left out is told.
+// Guards against excessive logging when 1,000 requests fail: the lines stay within their
+// rate limit, and the number of dropped lines is logged.
 func TestLinesStayWithinTheirBudget(t *testing.T) {
 	f := newFleet(t, 1)
-	f.targets[0].serve = sheds("1,0,4")
+	f.targets[0].serve = shedHandler("1,0,4")
 	const asked = 1000
 	begin := time.Now()
 	for range asked {
-		f.ask(0, "GET", "/idempotent/x", "")
+		f.send(0, "GET", "/idempotent/x", "")
 	}
 	spent := time.Since(begin).Seconds() + 1
 	f.proxies[0].LogDroppedLines()
@@ -108,8 +108,8 @@
 	assert.Assert(t, failures == asked || strings.Contains(f.logs.String(), "lines left out"))
 }
 
-// A lookup fails at one target and is served by another. The trace of its id tells
-// of the first attempt, with the target and the status that it answered.
+// A request fails at one target and is served by another. The trace of its id contains
+// the first attempt, with the target and its response status.
 func TestTraceTellsOfAnAttemptThatTheTargetFailed(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].Failed(time.Now())
@@ -117,9 +117,9 @@
 		w.Header().Set(headers.Signature, "proof")
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	f.ask(0, "GET", "/idempotent/x", "")
+	f.send(0, "GET", "/idempotent/x", "")
 	failed := 0
-	for _, line := range f.traced(t) {
+	for _, line := range f.trace(t) {
 		if line.Message == "attempt" && line.Fields[logfield.Target] == "t1" {
 			failed++
 			assert.Assert(t, strings.Contains(line.Fields[logfield.Error].(string), "status 500"))
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -18,128 +18,130 @@
 	"tamarackquay/internal/port"
 )
 
-// meshCustomer is the one contract of a mesh whose configuration names no
-// customers: its requests are ordered by rank alone.
+// meshCustomer is the only customer of a mesh whose configuration defines none; its
+// requests are ordered by rank alone.
 const meshCustomer = "mesh"
 
-// queuePerSlot bounds the requests that wait at a target. Their waits are bounded
-// by time as well; a queue of so many for each slot is as long as four times the
-// work of one, behind which hardly any request can be in time.
+// queuePerSlot limits the queue of a target, per slot. Waits are limited by time as well:
+// behind a queue of this length, a request waits about four times the work of one
+// request, and hardly any response is in time.
 const queuePerSlot = 4
 
-func ownTerms(slots int) admission.Terms {
+// admissionTerms returns the admission terms of the local target.
+func admissionTerms(slots int) admission.Terms {
 	return admission.Terms{
 		Slots: slots, QueuePerSlot: queuePerSlot,
 		Shares: map[string]admission.Share{meshCustomer: {Guaranteed: 1, Limit: 1}},
 	}
 }
 
-// Times of the owner node.
+// Delays and minimum times of the owner node.
 const (
-	// retryUnreachable is when a caller may come back to a target that can't be
-	// reached; by then other nodes know.
+	// retryUnreachable is the Retry-After for an unreachable target; by then other nodes
+	// have noticed.
 	retryUnreachable = 500 * time.Millisecond
-	// retryStopping is when a caller may come back to a node that stops.
+	// retryStopping is the Retry-After of a stopping node.
 	retryStopping = 500 * time.Millisecond
-	// leastBudget is the least time for which work is begun.
-	leastBudget = 5 * time.Millisecond
+	// minBudget is the minimum remaining time with which a request is started.
+	minBudget = 5 * time.Millisecond
 )
 
-// own runs a request on the VM's own target. The error is a *port.Refusal if
-// the target did not run it, and a *port.Unknown otherwise.
-func (p *Proxy) own(ctx context.Context, t *terms, r *exchange.Request, received time.Time) (*exchange.Response, loadWord, error) {
-	p.open.Add(1)
-	response, word, err := p.admit(ctx, t, r, received)
+// runLocal runs a request on the local target. The error is a *port.Refusal if the target
+// did not run it, and a *port.Unknown otherwise.
+func (p *Proxy) runLocal(ctx context.Context, meta *attemptMeta, r *exchange.Request, received time.Time) (*exchange.Response, loadReport, error) {
+	p.inFlight.Add(1)
+	response, report, err := p.admit(ctx, meta, r, received)
 	if err != nil {
-		p.open.Add(-1)
-		return nil, word, err
+		p.inFlight.Add(-1)
+		return nil, report, err
 	}
-	response.Body = &released{ReadCloser: response.Body, release: func() {
-		p.endRun(t.attempt)
-		p.open.Add(-1)
+	response.Body = &releasingBody{ReadCloser: response.Body, release: func() {
+		p.endRun(meta.attemptID)
+		p.inFlight.Add(-1)
 	}}
-	return response, word, nil
+	return response, report, nil
 }
 
-func (p *Proxy) admit(ctx context.Context, t *terms, r *exchange.Request, received time.Time) (*exchange.Response, loadWord, error) {
-	if refusal := p.mayRun(t, r); refusal != nil {
-		return nil, p.loadWord(received, 0), refusal
+// admit waits for a slot at the local target and sends the request.
+func (p *Proxy) admit(ctx context.Context, meta *attemptMeta, r *exchange.Request, received time.Time) (*exchange.Response, loadReport, error) {
+	if refusal := p.checkRunnable(meta, r); refusal != nil {
+		return nil, p.loadReport(received, 0), refusal
 	}
-	deadline := received.Add(t.budget)
-	release, refusal := p.isolate(ctx, t)
+	deadline := received.Add(meta.budget)
+	release, refusal := p.isolate(ctx, meta)
 	if refusal != nil {
-		return nil, p.loadWord(received, 0), refusal
+		return nil, p.loadReport(received, 0), refusal
 	}
 	refusal = p.gate.Enter(ctx, admission.Request{
-		ID: t.attempt, Customer: meshCustomer, Rank: t.rank, Depth: t.urgency,
-		Deadline: received.Add(min(t.wait+leastBudget, t.budget)),
+		ID: meta.attemptID, Customer: meshCustomer, Rank: meta.rank, Depth: meta.urgency,
+		Deadline: received.Add(min(meta.maxWait+minBudget, meta.budget)),
 	})
 	if refusal != nil {
 		release()
-		return nil, p.loadWord(received, 0), refusal
+		return nil, p.loadReport(received, 0), refusal
 	}
 	began := p.ports.Clock.Now()
-	if refusal := p.beginRun(began, t, deadline); refusal != nil {
+	if refusal := p.beginRun(began, meta, deadline); refusal != nil {
 		release()
-		p.gate.Leave(t.attempt)
-		return nil, p.loadWord(received, 0), refusal
+		p.gate.Leave(meta.attemptID)
+		return nil, p.loadReport(received, 0), refusal
 	}
-	p.beginOwnRun(began, t)
-	response, err := p.runOwn(ctx, t, r, deadline)
+	p.trackRun(began, meta)
+	response, err := p.sendLocal(ctx, meta, r, deadline)
 	held := p.ports.Clock.Now().Sub(began)
-	p.noteHold(held, response, err)
+	p.recordHold(held, response, err)
 	if err != nil {
 		p.gate.Observe(err)
-		p.endOwnRun(ctx, t, 0, err)
+		p.recordRunEnd(ctx, meta, 0, err)
 		release()
-		p.endRun(t.attempt)
-		return nil, p.loadWord(received, held), err
+		p.endRun(meta.attemptID)
+		return nil, p.loadReport(received, held), err
 	}
 	p.gate.Observe(nil)
-	response.Body = &runBody{ReadCloser: response.Body, ended: func(err error) {
-		p.endOwnRun(ctx, t, response.Status, err)
+	response.Body = &observedBody{ReadCloser: response.Body, onEnd: func(err error) {
+		p.recordRunEnd(ctx, meta, response.Status, err)
 		release()
 	}}
-	return response, p.loadWord(received, held), nil
+	return response, p.loadReport(received, held), nil
 }
 
-// mayRun says why no work goes to the VM's own target, or nil. An entry node that
-// knows of a newer target on this VM than this node does may be right: the target
-// itself will tell.
-func (p *Proxy) mayRun(t *terms, r *exchange.Request) *port.Refusal {
-	if p.ownStopped.Load() || p.stopping.Load() && p.ports.Clock.Now().Add(t.budget).After(*p.endsBy.Load()) {
+// checkRunnable returns a refusal if the request must not be sent to the local target, or
+// nil. If the entry node expects another target and has a newer revision of its entry, it
+// may be right; the request is sent, and the target itself checks the expected id.
+func (p *Proxy) checkRunnable(meta *attemptMeta, r *exchange.Request) *port.Refusal {
+	if p.localStopped.Load() || p.stopping.Load() && p.ports.Clock.Now().Add(meta.budget).After(*p.stopDeadline.Load()) {
 		return port.Refuse(port.ReasonStopping, retryStopping, "the target's node is stopping")
 	}
-	if refusal := p.quarantined(t.fingerprint); refusal != nil {
+	if refusal := p.checkQuarantine(meta.fingerprint); refusal != nil {
 		return refusal
 	}
-	picture := p.picture.Load()
-	if picture == nil || picture.Local == nil {
+	snapshot := p.snapshot.Load()
+	if snapshot == nil || snapshot.Local == nil {
 		return port.Refuse(port.ReasonNotReady, retryUnreachable, "no target is listed on this VM")
 	}
-	own := picture.Local
-	if expected := r.Header.Get(p.config.Headers.ExpectedTarget); expected != "" && expected != own.ID && t.revision < own.Revision {
+	local := snapshot.Local
+	if expected := r.Header.Get(p.config.Headers.ExpectedTarget); expected != "" && expected != local.ID && meta.revision < local.Revision {
 		return port.Refuse(port.ReasonWrongOwner, retryUnreachable, "this VM's target is another one")
 	}
 	now := p.ports.Clock.Now()
-	if !own.UsableUntil.IsZero() && !now.Before(own.UsableUntil) {
-		// Entry nodes may have heard of it later than this one.
+	if !local.UsableUntil.IsZero() && !now.Before(local.UsableUntil) {
+		// Entry nodes may have received the removal later than this node.
 		return port.Refuse(port.ReasonDraining, retryUnreachable, "the target's entry is gone")
 	}
-	if !own.DrainingSince.IsZero() && now.Sub(own.DrainingSince) > p.config.DrainGrace {
+	if !local.DrainingSince.IsZero() && now.Sub(local.DrainingSince) > p.config.DrainGrace {
 		return port.Refuse(port.ReasonDraining, retryUnreachable, "the target drains")
 	}
 	return nil
 }
 
-// runOwn sends the request to the target and reads the header of its answer.
-func (p *Proxy) runOwn(ctx context.Context, t *terms, r *exchange.Request, deadline time.Time) (*exchange.Response, error) {
-	if refusal := p.mayRun(t, r); refusal != nil {
-		// The wait for the slot may have been long.
+// sendLocal sends the request to the target and reads the response header.
+func (p *Proxy) sendLocal(ctx context.Context, meta *attemptMeta, r *exchange.Request, deadline time.Time) (*exchange.Response, error) {
+	if refusal := p.checkRunnable(meta, r); refusal != nil {
+		// The state may have changed while the request waited for the slot.
 		return nil, refusal
 	}
 	left := deadline.Sub(p.ports.Clock.Now())
-	if left < leastBudget {
+	if left < minBudget {
 		return nil, port.Refuse(port.ReasonDeadline, 0, "the deadline passed before the target took the request")
 	}
 	r.Header[p.config.Headers.Deadline] = []string{strconv.FormatInt(left.Milliseconds(), 10)}
@@ -147,18 +149,20 @@
 	response, err := p.ports.Target.Do(ctx, p.config.TargetAddress, r)
 	if err != nil {
 		cancel()
-		return nil, p.targetFailure(err)
+		return nil, p.classifyError(err)
 	}
-	if refusal := p.notRun(response); refusal != nil {
+	if refusal := p.notExecuted(response); refusal != nil {
 		p.discard(response.Body)
 		cancel()
 		return nil, refusal
 	}
-	response.Body = &released{ReadCloser: response.Body, release: cancel}
+	response.Body = &releasingBody{ReadCloser: response.Body, release: cancel}
 	return response, nil
 }
 
-func (p *Proxy) targetFailure(err error) error {
+// classifyError returns a refusal if no part of the request was sent, and a *port.Unknown
+// otherwise.
+func (p *Proxy) classifyError(err error) error {
 	var failure *exchange.Failure
 	if errors.As(err, &failure) && !failure.Sent {
 		return port.Refuse(port.ReasonUnreachable, retryUnreachable, "%v", failure.Cause)
@@ -166,9 +170,9 @@
 	return &port.Unknown{Stage: "target", Cause: err}
 }
 
-// notRun returns the refusal that a target's answer stands for, or nil. Only a
-// target that says so did not run the request; its other errors are answers.
-func (p *Proxy) notRun(response *exchange.Response) *port.Refusal {
+// notExecuted returns a refusal if a target's response says that it did not run the
+// request, or nil. All other errors of a target are valid responses.
+func (p *Proxy) notExecuted(response *exchange.Response) *port.Refusal {
 	if response.Status == http.StatusMisdirectedRequest {
 		return port.Refuse(port.ReasonMisdirected, retryUnreachable, "another target has the address")
 	}
@@ -181,20 +185,20 @@
 		return nil
 	}
 	load := response.Header.Get(p.config.Headers.Load)
-	if hasRoom(load) {
+	if hasFreeSlots(load) {
 		return port.Refuse(port.ReasonShedWithRoom, retryShed, "the target shed the request at load %s", load)
 	}
 	return port.Refuse(port.ReasonShed, retryShed, "the target shed the request at load %q", load)
 }
 
-// retryShed is when to come back after a shed. Slots fall free every few
-// milliseconds where many run, and a target that is ill sheds at random.
+// retryShed is the Retry-After of a shed request. Where many requests run, slots become
+// free every few milliseconds; an unhealthy target sheds at random.
 const retryShed = 50 * time.Millisecond
 
-// hasRoom reports whether the load that a target reports, "running,waiting,slots",
-// leaves free slots. A target that sheds all the same is ill and not full: fewer
+// hasFreeSlots reports whether the load "running,waiting,slots" leaves free slots. A
+// target that sheds requests with free slots is unhealthy rather than full: sending fewer
 // requests would not make it shed less.
-func hasRoom(load string) bool {
+func hasFreeSlots(load string) bool {
 	var running, waiting, slots int
 	if _, err := fmt.Sscanf(load, "%d,%d,%d", &running, &waiting, &slots); err != nil {
 		return false
@@ -202,21 +206,21 @@
 	return running+waiting < slots
 }
 
-// maxDiscarded is how much of an unwanted body is read to keep its connection.
+// maxDiscarded is how many bytes of an unused body are read to keep its connection.
 const maxDiscarded = 16 << 10
 
-// discard reads the rest of a small body, so that its connection can be used
-// again, and gives up on others.
+// discard reads the rest of a small body, so that its connection can be reused. It closes
+// larger bodies unread.
 func (p *Proxy) discard(body io.ReadCloser) {
-	// A break shows in the connection, which is then not used again.
+	// On a read error, the connection is broken and not reused.
 	_, _ = io.CopyN(io.Discard, body, maxDiscarded)
 	_ = body.Close()
 }
 
-// ServePeer runs a request that another node sends for this VM's target.
+// ServePeer runs a request sent by another node on the local target.
 func (p *Proxy) ServePeer(w http.ResponseWriter, r *http.Request) {
 	received := p.ports.Clock.Now()
-	t, err := decodeTerms(r.Header.Get(headerTerms))
+	meta, err := decodeMeta(r.Header.Get(headerMeta))
 	if err != nil {
 		callhttp.WriteError(w, port.Refuse(port.ReasonBadRequest, 0, "%v", err))
 		return
@@ -230,66 +234,67 @@
 		request.Body = nil
 	}
 	callhttp.CopyHeader(request.Header, r.Header)
-	if refusal := p.admitToLink(&t); refusal != nil {
-		word := p.loadWord(received, 0)
-		word.write(w.Header())
-		p.decisions.ownFailed(p.ports.Clock.Now(), request.ID, &t, received, word, refusal)
+	if refusal := p.admitToLink(&meta); refusal != nil {
+		report := p.loadReport(received, 0)
+		report.write(w.Header())
+		p.requestLog.localFailed(p.ports.Clock.Now(), request.ID, &meta, received, report, refusal)
 		callhttp.WriteError(w, refusal)
 		return
 	}
-	response, word, err := p.own(r.Context(), &t, request, received)
-	word.write(w.Header())
+	response, report, err := p.runLocal(r.Context(), &meta, request, received)
+	report.write(w.Header())
 	if err != nil {
-		p.correctLink(&t, 0)
-		p.decisions.ownFailed(p.ports.Clock.Now(), request.ID, &t, received, word, err)
+		p.correctLink(&meta, 0)
+		p.requestLog.localFailed(p.ports.Clock.Now(), request.ID, &meta, received, report, err)
 		callhttp.WriteError(w, err)
 		return
 	}
-	// The target's slot falls free with the last byte read from it, not when the
-	// other node has them all.
-	a, err := readAnswer(response)
+	// The target's slot is released when the last byte is read from the target, not when
+	// the other node has received all bytes.
+	resp, err := bufferResponse(response)
 	if err != nil {
-		p.correctLink(&t, 0)
+		p.correctLink(&meta, 0)
 		callhttp.WriteError(w, &port.Unknown{Stage: "answer", Cause: err})
 		return
 	}
-	p.correctLink(&t, len(a.whole))
-	if err := p.pass(r.Context(), w, a, received.Add(t.wanted)); err != nil {
-		// The answer must end broken for the entry node as well.
+	p.correctLink(&meta, len(resp.body))
+	if err := p.sendResponse(r.Context(), w, resp, received.Add(meta.dueIn)); err != nil {
+		// The response must break off for the entry node as well.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// pass sends an answer on, the whole part and then the rest; due is when it is
-// wanted.
-func (p *Proxy) pass(ctx context.Context, w http.ResponseWriter, a *answer, due time.Time) error {
-	if a.rest == nil {
-		a.response.ContentLength = int64(len(a.whole))
+// sendResponse sends a response, the buffered part followed by the rest. due is when the
+// caller needs it.
+func (p *Proxy) sendResponse(ctx context.Context, w http.ResponseWriter, resp *bufferedResponse, due time.Time) error {
+	if resp.rest == nil {
+		resp.response.ContentLength = int64(len(resp.body))
 	} else {
-		defer a.rest.Close()
+		defer resp.rest.Close()
 	}
-	if len(a.whole) >= link.Large && p.link.Rate() > 0 {
-		return p.passPaced(ctx, w, a, due)
+	if len(resp.body) >= link.Large && p.link.Rate() > 0 {
+		return p.sendPaced(ctx, w, resp, due)
 	}
-	p.countSmall(len(a.whole) + placement.HeaderBytes)
-	writeAnswer(w, a.response)
-	return copyAnswer(w, a)
+	p.countUnpaced(len(resp.body) + placement.HeaderBytes)
+	writeHeader(w, resp.response)
+	return copyBody(w, resp)
 }
 
-func copyAnswer(w io.Writer, a *answer) error {
-	if _, err := w.Write(a.whole); err != nil || a.rest == nil {
+// copyBody writes the buffered part of a body, followed by the rest.
+func copyBody(w io.Writer, resp *bufferedResponse) error {
+	if _, err := w.Write(resp.body); err != nil || resp.rest == nil {
 		return err
 	}
-	_, err := io.Copy(w, a.rest)
+	_, err := io.Copy(w, resp.rest)
 	return err
 }
 
-// writeAnswer writes the header of a target's answer.
-func writeAnswer(w http.ResponseWriter, response *exchange.Response) {
+// writeHeader writes the header of a target's response.
+func writeHeader(w http.ResponseWriter, response *exchange.Response) {
 	header := w.Header()
 	callhttp.CopyHeader(header, response.Header)
 	if _, ok := header["Content-Type"]; !ok {
-		// net/http would guess one.
+		// net/http would otherwise detect a content type.
 		header["Content-Type"] = nil
 	}
 	if _, ok := header["Date"]; !ok {
@@ -302,14 +307,14 @@
 	w.WriteHeader(response.Status)
 }
 
-// released calls release once when the body is done with.
-type released struct {
+// releasingBody calls release once when the body is closed.
+type releasingBody struct {
 	io.ReadCloser
 	release func()
 }
 
 // Close implements io.Closer.
-func (r *released) Close() error {
+func (r *releasingBody) Close() error {
 	err := r.ReadCloser.Close()
 	if r.release != nil {
 		r.release()
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -11,58 +11,59 @@
 	"tamarackquay/internal/port"
 )
 
-// admitToLink refuses a request whose answer would wait too long for the VM's
-// link. Only answers to other VMs cross it.
-func (p *Proxy) admitToLink(t *terms) *port.Refusal {
+// admitToLink refuses a request whose response would wait too long for the VM's link.
+// Only responses to other VMs use the link.
+func (p *Proxy) admitToLink(meta *attemptMeta) *port.Refusal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	retryAfter, ok := p.link.Admit(p.ports.Clock.Now(), float64(t.size), t.wait)
+	retryAfter, ok := p.link.Admit(p.ports.Clock.Now(), float64(meta.responseSize), meta.maxWait)
 	if ok {
 		return nil
 	}
 	return port.Refuse(port.ReasonBusy, retryAfter, "the link of the target's VM is full")
 }
 
-func (p *Proxy) correctLink(t *terms, size int) {
+// correctLink replaces the expected size of an admitted response by its actual size.
+func (p *Proxy) correctLink(meta *attemptMeta, size int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link.Correct(float64(t.size), float64(size))
+	p.link.Correct(float64(meta.responseSize), float64(size))
 }
 
-// LinkWait is how long a large answer waits for the VM's link.
+// LinkWait returns how long a large response waits for the VM's link.
 func (p *Proxy) LinkWait() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.link.Wait(p.ports.Clock.Now())
 }
 
-// CountSent counts what others send over the VM's link, which large answers leave
-// room for.
-func (p *Proxy) CountSent(bytes int) { p.countSmall(bytes) }
+// CountSent counts bytes that other components send over the VM's link, so that large
+// responses leave bandwidth for them.
+func (p *Proxy) CountSent(bytes int) { p.countUnpaced(bytes) }
 
-// countSmall counts what is sent without a pace.
-func (p *Proxy) countSmall(bytes int) {
+// countUnpaced counts bytes that are sent without rate limiting.
+func (p *Proxy) countUnpaced(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.link.Small(p.ports.Clock.Now(), bytes)
 }
 
-// pacedChunk is what is sent of a large answer at a time.
+// pacedChunk is the number of bytes of a large response sent in one write.
 const pacedChunk = 8 << 10
 
-// passPaced sends a large answer in its turn and at the pace of the link's
-// share, so that small answers find the link free.
-func (p *Proxy) passPaced(ctx context.Context, w http.ResponseWriter, a *answer, due time.Time) error {
+// sendPaced sends a large response when its turn comes and at the rate of the link's
+// share, so that small responses are not delayed behind it.
+func (p *Proxy) sendPaced(ctx context.Context, w http.ResponseWriter, resp *bufferedResponse, due time.Time) error {
 	turn := &link.Turn{Due: due}
 	if err := p.awaitTurn(ctx, turn); err != nil {
 		return err
 	}
 	defer p.endTurn()
-	writeAnswer(w, a.response)
-	return copyAnswer(&pacedWriter{proxy: p, to: w}, a)
+	writeHeader(w, resp.response)
+	return copyBody(&pacedWriter{proxy: p, to: w}, resp)
 }
 
-// awaitTurn waits until the answer may be sent. Without an error, endTurn must be
+// awaitTurn waits until the response may be sent. If it returns nil, endTurn must be
 // called once.
 func (p *Proxy) awaitTurn(ctx context.Context, turn *link.Turn) error {
 	p.mu.Lock()
@@ -70,25 +71,26 @@
 		p.mu.Unlock()
 		return nil
 	}
-	comes := make(chan struct{})
-	p.turnComes[turn] = comes
+	ready := make(chan struct{})
+	p.turnReady[turn] = ready
 	p.mu.Unlock()
 	select {
-	case <-comes:
+	case <-ready:
 		return nil
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	waited := p.turns.Cancel(turn)
-	delete(p.turnComes, turn)
+	cancelled := p.turns.Cancel(turn)
+	delete(p.turnReady, turn)
 	p.mu.Unlock()
-	if !waited {
-		// The turn came as the other node went.
+	if !cancelled {
+		// The turn came at the same time as the other node disconnected.
 		p.endTurn()
 	}
 	return ctx.Err()
 }
 
+// endTurn ends the sending of a large response and lets the next one start.
 func (p *Proxy) endTurn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,12 +98,13 @@
 	if next == nil {
 		return
 	}
-	if comes := p.turnComes[next]; comes != nil {
-		close(comes)
-		delete(p.turnComes, next)
+	if ready := p.turnReady[next]; ready != nil {
+		close(ready)
+		delete(p.turnReady, next)
 	}
 }
 
+// pacedWriter writes at the rate of the link's share.
 type pacedWriter struct {
 	proxy *Proxy
 	to    io.Writer
--- a/internal/proxy/path_bench_test.go
+++ b/internal/proxy/path_bench_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// BenchmarkPath measures a request through both its nodes: entry, owner, target
-// and back, over loopback. The target's own work is in the figure.
+// BenchmarkPath measures a request through entry node, owner node, target and back, over
+// loopback. The time includes the work of the target.
 func BenchmarkPath(b *testing.B) {
 	f := newFleet(b, 2)
 	f.proxies[0].stats["t0"].Avoid(time.Now())
 	b.ReportAllocs()
 	for b.Loop() {
-		if w := f.ask(0, "GET", "/idempotent/x", ""); w.Code != 200 {
+		if w := f.send(0, "GET", "/idempotent/x", ""); w.Code != 200 {
 			b.Fatal(w.Code)
 		}
 		f.proxies[0].stats["t0"].Avoid(time.Now())
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -25,9 +25,9 @@
 	var got http.Header
 	f.targets[1].serve = func(w http.ResponseWriter, r *http.Request) {
 		got = r.Header.Clone()
-		f.targets[1].runs(w, r)
+		f.targets[1].respond(w, r)
 	}
-	w := f.ask(0, "POST", "/once/a%2fb?q=1", "body")
+	w := f.send(0, "POST", "/once/a%2fb?q=1", "body")
 	assert.Equal(t, w.Code, http.StatusOK)
 	assert.Equal(t, w.Body.String(), "t1 ran /once/a%2fb?q=1 body")
 	assert.Equal(t, got.Get(headers.CallerService), "caller-service")
@@ -38,25 +38,25 @@
 	}
 }
 
-// A node that has just started knows no configuration. It must not say that a
-// route doesn't exist, which callers would believe.
+// Guards against a node that has just started, without a configuration, and reports that
+// a route doesn't exist: callers would take this as final.
 func TestNodeWithoutConfigurationIsNotSure(t *testing.T) {
 	f := newFleet(t, 1)
-	assert.Equal(t, f.ask(0, "GET", "/nowhere/", "").Code, http.StatusNotFound)
+	assert.Equal(t, f.send(0, "GET", "/nowhere/", "").Code, http.StatusNotFound)
 	f.proxies[0].SetSnapshot(&Snapshot{})
-	w := f.ask(0, "GET", "/nowhere/", "")
+	w := f.send(0, "GET", "/nowhere/", "")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Header().Get("Retry-After"), "0.200")
 }
 
-// A target turns every request away though it says that it has free slots. The
-// callers are asked back soon, and the node goes on offering it as much as
-// before: counting its slots down would turn away those whom it would serve.
+// A target sheds every request although it reports free slots. Callers may retry soon,
+// and the node must go on sending as many requests as before: if it reduced the target's
+// slots, it would refuse requests that the target would serve.
 func TestShedWithRoomTakesNoSlots(t *testing.T) {
 	f := newFleet(t, 1)
-	f.targets[0].serve = sheds("1,0,4")
+	f.targets[0].serve = shedHandler("1,0,4")
 	for range 3 * testSlots {
-		w := f.ask(0, "GET", "/idempotent/x", "")
+		w := f.send(0, "GET", "/idempotent/x", "")
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, w.Header().Get("Retry-After"), "0.050")
 	}
@@ -66,10 +66,10 @@
 	f.targets[0].serve = func(w http.ResponseWriter, r *http.Request) {
 		running <- struct{}{}
 		<-release
-		f.targets[0].runs(w, r)
+		f.targets[0].respond(w, r)
 	}
 	for range testSlots {
-		served.Go(func() { f.ask(0, "GET", "/idempotent/x", "") })
+		served.Go(func() { f.send(0, "GET", "/idempotent/x", "") })
 	}
 	for range testSlots {
 		<-running
@@ -78,31 +78,32 @@
 	served.Wait()
 }
 
-// A target sheds a filing, which is proof that it did not run. It is offered to
-// another target, and runs once.
+// A target sheds a non-idempotent request, which proves that it did not run. It is sent
+// to another target and runs once.
 func TestShedFilingRunsElsewhereOnce(t *testing.T) {
 	f := newFleet(t, 2)
-	f.targets[0].serve = sheds("1,0,4")
+	f.targets[0].serve = shedHandler("1,0,4")
 	f.proxies[0].stats["t1"].Failed(time.Now())
-	w := f.ask(0, "POST", "/once/x", "filing")
+	w := f.send(0, "POST", "/once/x", "filing")
 	assert.Equal(t, w.Body.String(), "t1 ran /once/x filing")
-	assert.Equal(t, f.arrivals(), 2)
+	assert.Equal(t, f.totalArrivals(), 2)
 }
 
-// A target takes a filing and breaks off. Nobody knows whether it ran, so it is
-// not sent again, and the caller isn't told that it did not run.
+// A target accepts a non-idempotent request and closes the connection. It is unknown
+// whether the request ran, so it must not be retried, and the caller must not be told
+// that it did not run.
 func TestFilingOfUnknownOutcomeIsNotRepeated(t *testing.T) {
 	f := newFleet(t, 2)
 	for _, target := range f.targets {
 		target.serve = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	}
-	w := f.ask(0, "POST", "/once/x", "filing")
+	w := f.send(0, "POST", "/once/x", "filing")
 	assert.Equal(t, w.Code, http.StatusBadGateway)
-	assert.Equal(t, f.arrivals(), 1)
+	assert.Equal(t, f.totalArrivals(), 1)
 }
 
-// An answer breaks off midway. The caller of an idempotent request gets the
-// whole answer of another target, never the part.
+// A response breaks off. The caller of an idempotent request gets the complete response
+// of another target, never the partial one.
 func TestBrokenAnswerIsHadAgain(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t1"].Failed(time.Now())
@@ -111,46 +112,48 @@
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("half"))
 	}
-	assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Body.String(), "t1 ran /idempotent/x ")
+	assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Body.String(), "t1 ran /idempotent/x ")
 }
 
-// A target answers 200 without the proof that it made the answer. Its bytes are
-// somebody else's and are not passed on.
+// A target answers 200 without the header that proves that it generated the response. The
+// body may come from elsewhere and must not be forwarded.
 func TestSuccessWithoutProofIsNotPassedOn(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("spoilt")) }
-	w := f.ask(0, "POST", "/once/x", "")
+	w := f.send(0, "POST", "/once/x", "")
 	assert.Equal(t, w.Code, http.StatusBadGateway)
 	assert.Assert(t, !strings.Contains(w.Body.String(), "spoilt"))
 }
 
-// The address of a target that has gone belongs to another one now, and the
-// entry node has not heard. The request doesn't run there.
+// The address of a removed target is in use by another one, and the entry node doesn't
+// know yet. The request must not run there.
 func TestReusedAddressRunsNothing(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targets[0].id = "stranger"
-	w := f.ask(0, "POST", "/once/x", "")
+	w := f.send(0, "POST", "/once/x", "")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Header().Get(callhttp.HeaderReason), "misdirected")
 }
 
-// One target hangs. The caller of an idempotent request gets its answer from
-// another one within its deadline. Where there is no other, the other is full, or it
-// refuses though it was believed to have room, the attempt runs on: giving it up would
-// waste the work of a target that is only slow, and leave the caller without an answer.
+// One target hangs. The caller of an idempotent request gets a response from another one
+// within its deadline. If there is no other target, or it is full, or it refuses although
+// its last load report showed free slots, the first attempt continues: cancelling it
+// would waste the work of a target that is only slow, and leave the caller without a
+// response.
 func TestSlowAttemptIsGivenUpOnlyForAnother(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
 		nodes int
-		// waiting is how many wait at the other target.
+		// waiting is the number of requests waiting at the other target.
 		waiting int
-		// refuses says that the other target's node has no room after all.
+		// refuses is set if the other target's node refuses although free slots were
+		// reported.
 		refuses bool
 		want    string
 	}{
 		{"another target", 2, 0, false, "t1 ran /idempotent/x "},
 		{"another target that is full", 2, 5, false, "t0 ran /idempotent/x "},
-		{"another target that turns out to be full", 2, 0, true, "t0 ran /idempotent/x "},
+		{"another target that refuses as full", 2, 0, true, "t0 ran /idempotent/x "},
 		{"no other target", 1, 0, false, "t0 ran /idempotent/x "},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
@@ -160,37 +163,37 @@
 				f.proxies[0].stats["t1"].Heard(time.Now(), placement.Load{Running: testSlots * min(test.waiting, 1), Waiting: test.waiting, Slots: testSlots})
 			}
 			if test.refuses {
-				f.proxies[1].gate.Configure(ownTerms(0))
+				f.proxies[1].gate.Configure(admissionTerms(0))
 			}
 			f.targets[0].serve = func(w http.ResponseWriter, r *http.Request) {
 				select {
 				case <-time.After(time.Second):
-					f.targets[0].runs(w, r)
+					f.targets[0].respond(w, r)
 				case <-r.Context().Done():
 				}
 			}
-			assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Body.String(), test.want)
+			assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Body.String(), test.want)
 		})
 	}
 }
 
-// A node is told to stop while a target works slowly on a request that came in
-// before. The answer is waited for, though another target could be asked.
+// A node is stopped while a target works slowly on a request received before. The node
+// waits for the response instead of trying another target.
 func TestStoppingNodeGivesNothingUp(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t1"].Failed(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, r *http.Request) {
 		f.proxies[0].Stop(time.Now().Add(time.Minute))
 		time.Sleep(600 * time.Millisecond)
-		f.targets[0].runs(w, r)
+		f.targets[0].respond(w, r)
 	}
-	w := f.ask(0, "GET", "/idempotent/x", "")
+	w := f.send(0, "GET", "/idempotent/x", "")
 	assert.Equal(t, w.Body.String(), "t0 ran /idempotent/x ")
 	assert.Equal(t, w.Header().Get("Connection"), "close")
 }
 
-// Every target fails. The further attempts of all requests stay within the
-// fleet's budget: a part of the requests, and a few besides.
+// Every target fails. The retries of all requests must stay within the fleet's budget: a
+// fraction of the requests, plus a fixed number.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
 	f := newFleet(t, 2)
 	for _, p := range f.proxies {
@@ -204,13 +207,13 @@
 	}
 	const asked = 40
 	for range asked {
-		assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Code, http.StatusInternalServerError)
+		assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Code, http.StatusInternalServerError)
 	}
-	assert.Assert(t, f.arrivals() <= asked+asked/5+2, "%d", f.arrivals())
+	assert.Assert(t, f.totalArrivals() <= asked+asked/5+2, "%d", f.totalArrivals())
 }
 
-// All targets are full. A caller who came back, too late to be in time, is refused by
-// the first one that has no room, and one who may still be in time after both.
+// All targets are full. A retry of a caller that can't be in time any more is refused
+// after the first full target; one that may still be in time is refused after both.
 func TestOverdueCallersAreRefusedAtOnce(t *testing.T) {
 	for _, test := range []struct {
 		desc   string
@@ -218,31 +221,32 @@
 		offers float64
 	}{
 		{"a new caller", 0, 2},
-		{"one who came back in time", 50 * time.Millisecond, 2},
-		{"one who came back too late", time.Second, 1},
+		{"a retry that may be in time", 50 * time.Millisecond, 2},
+		{"a retry that is too late", time.Second, 1},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			f := newFleet(t, 2)
 			for _, p := range f.proxies {
-				p.gate.Configure(ownTerms(0))
+				p.gate.Configure(admissionTerms(0))
 			}
 			now := time.Now()
 			attempt := &clientretry.Request{Method: "GET", Host: "h", URI: "/idempotent/x", Ends: now.Add(time.Second)}
-			f.proxies[0].callers.Failed(now, attempt, now.Add(-test.waited))
+			f.proxies[0].callerRetries.Failed(now, attempt, now.Add(-test.waited))
 			r := httptest.NewRequest("GET", "/idempotent/x", nil)
 			r.Host = "h"
-			r.Header.Set(headers.RequestID, nextRequest())
+			r.Header.Set(headers.RequestID, nextRequestID())
 			r.Header.Set(headers.Deadline, "1000")
 			w := httptest.NewRecorder()
 			f.proxies[0].ServeCaller(w, r)
 			assert.Equal(t, w.Code, http.StatusServiceUnavailable)
-			lines := f.traced(t)
+			lines := f.trace(t)
 			assert.Equal(t, lines[len(lines)-1].Fields[logfield.Offers], test.offers)
 		})
 	}
 }
 
-// Guards against late work for a target whose own node has known for long that it drains.
+// Guards against sending requests to a target long after its own node learned that it is
+// draining.
 func TestOwnerEndsTheWorkOfADrainingTarget(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
@@ -250,67 +254,68 @@
 		want  string
 	}{
 		{"just now", 0, "t1 ran /once/x "},
-		{"for longer than late work is given", testDrainWork + time.Millisecond, "t0 ran /once/x "},
+		{"for longer than the grace period", testDrainGrace + time.Millisecond, "t0 ran /once/x "},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			f := newFleet(t, 2)
 			f.proxies[0].stats["t0"].Failed(time.Now())
-			picture := *f.proxies[1].picture.Load()
-			own := *picture.Local
-			own.State, own.DrainingSince = mesh.Draining, time.Now().Add(-test.since)
-			picture.Local = &own
-			f.proxies[1].SetSnapshot(&picture)
-			assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), test.want)
-			assert.Equal(t, f.arrivals(), 1)
+			snapshot := *f.proxies[1].snapshot.Load()
+			local := *snapshot.Local
+			local.State, local.DrainingSince = mesh.Draining, time.Now().Add(-test.since)
+			snapshot.Local = &local
+			f.proxies[1].SetSnapshot(&snapshot)
+			assert.Equal(t, f.send(0, "POST", "/once/x", "").Body.String(), test.want)
+			assert.Equal(t, f.totalArrivals(), 1)
 		})
 	}
 }
 
-// The entry of a target is gone from the platform, and an entry node hears of it
-// later than the target's own node. The target gets no work beyond the grace, by
-// its own node's word; the request goes elsewhere.
+// A target's entry is removed from the platform, and an entry node learns of it later
+// than the target's own node. After the grace period, the owner node refuses the request,
+// and it runs at another target.
 func TestOwnerEndsTheGraceOfAGoneTarget(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].Failed(time.Now())
 	usableUntil := func(until time.Time) {
-		picture := *f.proxies[1].picture.Load()
-		own := *picture.Local
-		own.UsableUntil = until
-		picture.Local = &own
-		f.proxies[1].SetSnapshot(&picture)
+		snapshot := *f.proxies[1].snapshot.Load()
+		local := *snapshot.Local
+		local.UsableUntil = until
+		snapshot.Local = &local
+		f.proxies[1].SetSnapshot(&snapshot)
 	}
 	usableUntil(time.Now().Add(time.Minute))
-	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t1 ran /once/x ")
+	assert.Equal(t, f.send(0, "POST", "/once/x", "").Body.String(), "t1 ran /once/x ")
 	usableUntil(time.Now())
-	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
-	assert.Equal(t, f.arrivals(), 2)
+	assert.Equal(t, f.send(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
+	assert.Equal(t, f.totalArrivals(), 2)
 }
 
-// The owner node of the nearest target stops. Its target, which runs on, is used
-// until the node is about to end. From then on it refuses as not run, and the
-// request goes elsewhere without an arrival.
+// The owner node of the nearest target stops. The target keeps running and is used until
+// the node is about to end. From then on, the node refuses requests as not executed, and
+// they run at another target without counting as an arrival.
 func TestStoppingOwnerCostsNoArrival(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[1].Stop(time.Now().Add(time.Minute))
 	f.proxies[0].stats["t0"].Failed(time.Now())
-	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t1 ran /once/x ")
+	assert.Equal(t, f.send(0, "POST", "/once/x", "").Body.String(), "t1 ran /once/x ")
 	f.proxies[1].StopLocal()
-	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
-	assert.Equal(t, f.arrivals(), 2)
+	assert.Equal(t, f.send(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
+	assert.Equal(t, f.totalArrivals(), 2)
 }
 
-// A node stops, and a request comes that may take longer than the node has. Its
-// target isn't given it: it would be cut in the middle of the work.
+// A node is stopping, and a request may take longer than the node has left. It must not
+// be sent to the node's target, where it would be cut off.
 func TestStoppingNodeBeginsNothingThatItMustCut(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[1].Stop(time.Now().Add(time.Second))
 	f.proxies[0].stats["t0"].Failed(time.Now())
-	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
-	assert.Equal(t, f.arrivals(), 1)
+	assert.Equal(t, f.send(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
+	assert.Equal(t, f.totalArrivals(), 1)
 }
 
-// Guards against requests on kept connections that a stopping node reads just before it
-// ends, gives to a target and then cuts. Those that are surely over are served.
+// Guards against a stopping node that reads requests from kept-alive connections just
+// before it ends, sends them to a target and then cuts them off. Requests certain to
+// finish in time are served.
 func TestStoppingNodeTakesNoCallerThatItMustCut(t *testing.T) {
 	for _, test := range []struct {
 		desc    string
@@ -319,9 +324,9 @@
 		status  int
 		runs    int
 	}{
-		{"callers may still come", time.Second, false, http.StatusOK, 1},
-		{"callers have left, and it may take longer than the node has", time.Second, true, http.StatusServiceUnavailable, 0},
-		{"callers have left, and it is surely over", time.Minute, true, http.StatusOK, 1},
+		{"callers may still arrive", time.Second, false, http.StatusOK, 1},
+		{"callers have left, and the request may not finish in time", time.Second, true, http.StatusServiceUnavailable, 0},
+		{"callers have left, and the request finishes in time", time.Minute, true, http.StatusOK, 1},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			f := newFleet(t, 2)
@@ -330,17 +335,17 @@
 			if test.stopped {
 				f.proxies[0].StopLocal()
 			}
-			got := f.ask(0, "POST", "/once/x", "")
+			got := f.send(0, "POST", "/once/x", "")
 			assert.Equal(t, got.Code, test.status)
 			assert.Equal(t, got.Header().Get("Connection"), "close")
-			assert.Equal(t, f.arrivals(), test.runs)
+			assert.Equal(t, f.totalArrivals(), test.runs)
 		})
 	}
 }
 
-// A node restarts and refuses connections for two seconds. Its target gets work
-// again within half a second of its return, not after a pause that has grown
-// meanwhile.
+// A node restarts and refuses connections for two seconds. Its target must get requests
+// again within half a second of the node's return, not after a backoff that has grown in
+// the meantime.
 func TestTargetOfARestartedNodeIsSoonUsed(t *testing.T) {
 	f := newFleet(t, 2)
 	stats := f.proxies[0].stats["t1"]
@@ -353,29 +358,28 @@
 	assert.Assert(t, stats.Available(now.Add(2500*time.Millisecond)))
 }
 
-// Both parts of a split lead to one service here; the shares are counted at the
-// splitter's own test. What has no usable target is refused and goes nowhere
-// else.
+// A route leads to a service without usable targets. Its requests are refused and not
+// sent to another service. (The shares of a split are tested with the splitter.)
 func TestPartWithoutTargetsIsRefused(t *testing.T) {
 	f := newFleet(t, 1)
 	route := testRoute("/split/", mesh.Idempotent)
 	route.Shares = []mesh.Share{{Service: "empty", Weight: 1}}
-	picture := *f.proxies[0].picture.Load()
-	picture.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: []mesh.Route{route}})
-	f.proxies[0].SetSnapshot(&picture)
-	assert.Equal(t, f.ask(0, "GET", "/split/x", "").Code, http.StatusServiceUnavailable)
-	assert.Equal(t, f.arrivals(), 0)
+	snapshot := *f.proxies[0].snapshot.Load()
+	snapshot.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: []mesh.Route{route}})
+	f.proxies[0].SetSnapshot(&snapshot)
+	assert.Equal(t, f.send(0, "GET", "/split/x", "").Code, http.StatusServiceUnavailable)
+	assert.Equal(t, f.totalArrivals(), 0)
 }
 
-// A caller sends headers over the limit of the configuration in force. It is told
-// so, and nothing reaches a target.
+// A caller exceeds the limits of the active configuration. It gets the corresponding
+// status, and nothing reaches a target.
 func TestLimitsOfTheConfiguration(t *testing.T) {
 	f := newFleet(t, 1)
-	picture := *f.proxies[0].picture.Load()
+	snapshot := *f.proxies[0].snapshot.Load()
 	config := *f.table.Config
 	config.Limits = mesh.Limits{HeaderBytes: 100, BodyBytes: 10}
-	picture.Table = mesh.NewTable(&config)
-	f.proxies[0].SetSnapshot(&picture)
+	snapshot.Table = mesh.NewTable(&config)
+	f.proxies[0].SetSnapshot(&snapshot)
 	for _, test := range []struct {
 		desc, path, body string
 		status           int
@@ -385,24 +389,25 @@
 		{"body over the limit", "/once/x", "0123456789a", http.StatusRequestEntityTooLarge},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			assert.Equal(t, f.ask(0, "POST", test.path, test.body).Code, test.status)
+			assert.Equal(t, f.send(0, "POST", test.path, test.body).Code, test.status)
 		})
 	}
-	assert.Equal(t, f.arrivals(), 1)
+	assert.Equal(t, f.totalArrivals(), 1)
 }
 
-// Guards against large bodies that are taken for one request since none of them is kept, and
-// against one that reaches its target without what was read ahead of it.
+// Guards against equal fingerprints of different large bodies, of which no part is
+// buffered, and against a large body that reaches its target without the part that was
+// read ahead.
 func TestLargeBodiesAreToldApart(t *testing.T) {
 	f := newFleet(t, 1)
 	seen := map[quarantine.Fingerprint]bool{}
 	for _, letter := range []string{"a", "b"} {
 		body := strings.Repeat(letter, requestbody.MaxBufferedBytes+1)
-		w := f.ask(0, "POST", "/once/x", body)
+		w := f.send(0, "POST", "/once/x", body)
 		assert.Equal(t, w.Body.String(), "t0 ran /once/x "+body)
 		kept, length, err := requestbody.Read(strings.NewReader(body), int64(len(body)))
 		assert.NilError(t, err)
-		seen[fingerprintOf(&flight{method: "POST", uri: "/once/x", host: "h", length: length, body: kept})] = true
+		seen[fingerprintOf(&forwarder{method: "POST", uri: "/once/x", host: "h", length: length, body: kept})] = true
 	}
 	assert.Equal(t, len(seen), 2)
 }
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -8,14 +8,14 @@
 	"tamarackquay/internal/quarantine"
 )
 
-func fingerprintOf(f *flight) quarantine.Fingerprint {
+func fingerprintOf(f *forwarder) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(&quarantine.Content{
 		Method: f.method, Host: f.host, URI: f.uri, Length: f.length, Body: f.body.Head(),
 	})
 }
 
-// quarantined returns the refusal of a request that is kept from targets, or nil.
-func (p *Proxy) quarantined(request quarantine.Fingerprint) *port.Refusal {
+// checkQuarantine returns a refusal if the request is quarantined, or nil.
+func (p *Proxy) checkQuarantine(request quarantine.Fingerprint) *port.Refusal {
 	left := p.crashes.Quarantined(request)
 	if left == 0 {
 		return nil
@@ -23,29 +23,29 @@
 	return port.Refuse(port.ReasonQuarantined, left, "targets crashed under this request; it is kept from others")
 }
 
-// mayRepeat reports whether the request may be offered once more after it may have run. One
-// that ran beside a crash before its caller sent it again isn't: its caller learns the
-// outcome, and if it is the cause, fewer targets crash under it.
-func (f *flight) mayRepeat() bool { return f.suspicion == 0 }
+// unsuspected reports whether the request has not been running during a target crash. A
+// suspected request isn't retried after it may have run: its caller gets the outcome, and
+// if the request causes the crashes, fewer targets crash.
+func (f *forwarder) unsuspected() bool { return f.crashCount == 0 }
 
-// isolateFrom is the count of crashes from which suspects run one at a time at a target, so
-// that the next crash tells them apart.
-const isolateFrom = 2
+// isolateThreshold is the number of crashes from which suspected requests run one at a
+// time at a target, so that the next crash identifies the cause.
+const isolateThreshold = 2
 
-// retryIsolated is when a caller may come back whose request could not run alone.
+// retryIsolated is the Retry-After of a request that could not run in isolation.
 const retryIsolated = 100 * time.Millisecond
 
-// isolate waits until no other suspect runs at the VM's own target, if the request is one.
-// Release must be called in any case.
-func (p *Proxy) isolate(ctx context.Context, t *terms) (release func(), refusal *port.Refusal) {
-	if p.crashes.Count(t.fingerprint) < isolateFrom {
+// isolate waits until no other suspected request runs at the local target, if the request
+// itself is suspected. The returned release must be called in any case.
+func (p *Proxy) isolate(ctx context.Context, meta *attemptMeta) (release func(), refusal *port.Refusal) {
+	if p.crashes.Count(meta.fingerprint) < isolateThreshold {
 		return func() {}, nil
 	}
-	timer := time.NewTimer(min(t.wait+leastBudget, t.budget))
+	timer := time.NewTimer(min(meta.maxWait+minBudget, meta.budget))
 	defer timer.Stop()
 	select {
-	case p.alone <- struct{}{}:
-		return func() { <-p.alone }, nil
+	case p.suspectSlot <- struct{}{}:
+		return func() { <-p.suspectSlot }, nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/proxy/rank_test.go
+++ b/internal/proxy/rank_test.go
@@ -15,9 +15,9 @@
 	"tamarackquay/internal/placement"
 )
 
-// flightTo makes a request of a route whose work is usually 200 ms, wanted within
-// 600 ms, and a target that takes so many times as long.
-func flightTo(now time.Time, usual time.Duration, slowness float64) (*flight, *mesh.Member) {
+// newRankForwarder returns a request of a route with the given usual work and a target
+// latency of 600 ms, and a target that is slower by the given factor.
+func newRankForwarder(now time.Time, usual time.Duration, slowness float64) (*forwarder, *mesh.Member) {
 	p := New(Config{}, Ports{})
 	route := &mesh.Route{Name: "r", Kind: mesh.Idempotent, TargetLatency: 600 * time.Millisecond}
 	member := &mesh.Member{Target: mesh.Target{ID: "t", Slots: 12}}
@@ -29,7 +29,7 @@
 	}
 	p.stats["t"] = stats
 	p.work["r"] = &placement.Work{Hold: usual}
-	return &flight{proxy: p, route: route, began: now, first: now, deadline: now.Add(2 * time.Second)}, member
+	return &forwarder{proxy: p, route: route, began: now, firstAt: now, deadline: now.Add(2 * time.Second)}, member
 }
 
 func TestWaitLeavesTimeForTheWork(t *testing.T) {
@@ -40,23 +40,24 @@
 		slowness float64
 		want     time.Duration
 	}{
-		{"a usual target", 200 * time.Millisecond, 1, 300 * time.Millisecond},
-		{"a slow one", 200 * time.Millisecond, 1.5, 150 * time.Millisecond},
-		{"a fast one waits no longer", 200 * time.Millisecond, 0.7, 300 * time.Millisecond},
-		{"work that nobody has seen", 0, 1, 300 * time.Millisecond},
+		{"an average target", 200 * time.Millisecond, 1, 300 * time.Millisecond},
+		{"a slow target", 200 * time.Millisecond, 1.5, 150 * time.Millisecond},
+		{"a fast target gets no longer wait", 200 * time.Millisecond, 0.7, 300 * time.Millisecond},
+		{"work not yet observed", 0, 1, 300 * time.Millisecond},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			f, member := flightTo(now, test.usual, test.slowness)
-			got := f.terms(now, member)
-			assert.Assert(t, (got.wait-test.want).Abs() < 2*time.Millisecond, "%s", got.wait)
+			f, member := newRankForwarder(now, test.usual, test.slowness)
+			got := f.newMeta(now, member)
+			assert.Assert(t, (got.maxWait-test.want).Abs() < 2*time.Millisecond, "%s", got.maxWait)
 		})
 	}
 }
 
-// playSlowTarget offers a target that is 1.6 times as slow as the mean 1.3 times
-// what it can do, for a minute, with the waits that terms grants for a target of a
-// believed slowness. It returns the part of the served requests that was in time.
-func playSlowTarget(believed float64) float64 {
+// simulateSlowTarget sends a target that is 1.6 times as slow as the mean 1.3 times the
+// requests that it can process, for a minute. Their waits are those of newMeta for a
+// target of the assumed slowness. It returns the fraction of served requests that were in
+// time.
+func simulateSlowTarget(assumed float64) float64 {
 	const slots, slowness, demand, spread = 12, 1.6, 1.3, 0.5
 	const usual = 200 * time.Millisecond
 	random := rand.New(rand.NewPCG(3, 4))
@@ -64,7 +65,7 @@
 		return time.Duration(slowness * float64(usual) * math.Exp(spread*random.NormFloat64()-spread*spread/2))
 	}
 	start := time.Now()
-	queue := admission.NewQueue(ownTerms(slots), 1)
+	queue := admission.NewQueue(admissionTerms(slots), 1)
 	type running struct {
 		id  string
 		end time.Time
@@ -91,21 +92,21 @@
 			}
 			begin(done.end, slices.Clone(queue.Release(done.end, done.id).Started))
 		}
-		f, member := flightTo(now, usual, believed)
-		t := f.terms(now, member)
+		f, member := newRankForwarder(now, usual, assumed)
+		meta := f.newMeta(now, member)
 		id := fmt.Sprint(i)
 		arrived[id] = now
-		_, changes := queue.Offer(now, admission.Request{ID: id, Customer: meshCustomer, Deadline: now.Add(t.wait)})
+		_, changes := queue.Offer(now, admission.Request{ID: id, Customer: meshCustomer, Deadline: now.Add(meta.maxWait)})
 		begin(now, slices.Clone(changes.Started))
 	}
 	return float64(inTime) / float64(served)
 }
 
-// A target that is slower than the others is offered more than it can do. Waits
-// by its own speed let callers have more of its answers in time than waits by the
-// mean of all targets, and it serves as many.
+// A target that is slower than the others gets more requests than it can process. With
+// waits based on its own speed, more of its responses are in time than with waits based
+// on the mean of all targets, and it serves as many.
 func TestWaitsByTheTargetsOwnSpeedAreInTime(t *testing.T) {
-	byMean, byOwn := playSlowTarget(1), playSlowTarget(1.6)
+	byMean, byOwn := simulateSlowTarget(1), simulateSlowTarget(1.6)
 	t.Logf("in time: %.3f by the mean of all targets, %.3f by its own speed", byMean, byOwn)
 	assert.Assert(t, byOwn > byMean+0.1)
 }
--- a/internal/proxy/reach.go
+++ b/internal/proxy/reach.go
@@ -13,105 +13,108 @@
 	"tamarackquay/internal/wait"
 )
 
-// A partition takes many VMs away at once, and the platform goes on listing
-// their targets. Each entry node would find out about each target by a request
-// that waits for nothing, again whenever it dares to try the target anew: with 39
-// of 86 VMs away, four in five requests of the others were lost for seconds. So
-// a node that nobody answers at is left out until a probe in the background gets
-// an answer; and once one VM was found away, a node is asked for a sign of life
-// before it gets a request, unless it was heard of just before. On a calm day
-// nothing is asked.
-
-// PingPath answers a probe of another node.
+// A network partition can disconnect many VMs at once while the platform still lists
+// their targets. Without the measures below, each entry node detects each unreachable
+// target only by a request that times out, and again whenever it retries the target: with
+// 39 of 86 VMs disconnected, four in five requests of the other VMs were lost for seconds.
+// Therefore a node that doesn't answer is excluded until a background probe succeeds.
+// Also, once one VM was found unreachable, nodes are pinged before they get a request,
+// unless they answered just before. Without failures, no pings are sent.
+
+// PingPath answers the pings of other nodes.
 const PingPath = "/peer/ping"
 
 const (
-	// wary is for how long signs of life are asked for after a VM was found
-	// away: as long as the platform may list a target that is gone.
-	wary = 10 * time.Second
-	// heardFor is how long a node that answered counts as there.
-	heardFor = 250 * time.Millisecond
-	// pingTimeout bounds the wait for a sign of life, beside two round trips.
+	// pingPeriod is how long nodes are pinged after a VM was found unreachable: as long
+	// as the platform may list a removed target.
+	pingPeriod = 10 * time.Second
+	// contactValidity is how long a node counts as reachable after it answered.
+	contactValidity = 250 * time.Millisecond
+	// pingTimeout is the time allowed for the answer to a ping, in addition to two round
+	// trips.
 	pingTimeout = 100 * time.Millisecond
-	// probeFirst and probeMost bound the pause between two probes of a node
-	// that doesn't answer.
-	probeFirst = 200 * time.Millisecond
-	probeMost  = time.Second
+	// minProbePause and maxProbePause limit the pause between two probes of a node that
+	// doesn't answer.
+	minProbePause = 200 * time.Millisecond
+	maxProbePause = time.Second
 )
 
-// reachability is what an entry node knows of the other nodes, by address. The
-// proxy's mutex guards it.
+// reachability holds the state of the other nodes, by address, as seen by an entry node.
+// It is guarded by the proxy's mutex.
 type reachability struct {
-	heard map[string]time.Time
-	// away holds the nodes that are probed in the background.
-	away      map[string]bool
-	waryUntil time.Time
+	// lastContact is when each node last answered.
+	lastContact map[string]time.Time
+	// unreachable holds the nodes that are probed in the background.
+	unreachable map[string]bool
+	pingUntil   time.Time
 }
 
 func newReachability() reachability {
-	return reachability{heard: map[string]time.Time{}, away: map[string]bool{}}
+	return reachability{lastContact: map[string]time.Time{}, unreachable: map[string]bool{}}
 }
 
-// forget drops nodes that no target is listed at any more.
+// forget drops the last contact of nodes without a listed target.
 func (r *reachability) forget(listed map[string]bool) {
-	for address := range r.heard {
+	for address := range r.lastContact {
 		if !listed[address] {
-			delete(r.heard, address)
+			delete(r.lastContact, address)
 		}
 	}
 }
 
-func (p *Proxy) noteHeard(address string) {
+// recordContact records that a node answered.
+func (p *Proxy) recordContact(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reach.heard[address] = p.ports.Clock.Now()
+	p.reachability.lastContact[address] = p.ports.Clock.Now()
 }
 
-// isAway must be called with the mutex held.
-func (p *Proxy) isAway(member *mesh.Member) bool {
-	return len(p.reach.away) > 0 && p.reach.away[p.peerAddress(member)]
+// isUnreachable reports whether the target's node is excluded. It must be called with the
+// mutex held.
+func (p *Proxy) isUnreachable(member *mesh.Member) bool {
+	return len(p.reachability.unreachable) > 0 && p.reachability.unreachable[p.peerAddress(member)]
 }
 
-// noteAway leaves a node out until a probe gets an answer.
-func (p *Proxy) noteAway(address string) {
+// markUnreachable excludes a node until a probe succeeds.
+func (p *Proxy) markUnreachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reach.waryUntil = p.ports.Clock.Now().Add(wary)
-	if p.reach.away[address] {
+	p.reachability.pingUntil = p.ports.Clock.Now().Add(pingPeriod)
+	if p.reachability.unreachable[address] {
 		return
 	}
-	p.reach.away[address] = true
+	p.reachability.unreachable[address] = true
 	go p.probe(address)
 }
 
-// probe asks a node for a sign of life until it gives one, or no target is
-// listed there any more.
+// probe pings a node until it answers or no target is listed at its address any more.
 func (p *Proxy) probe(address string) {
-	pause := probeFirst
+	pause := minProbePause
 	for wait.Sleep(context.Background(), pause) {
-		pause = min(2*pause, probeMost)
-		if p.listed(address) && p.ping(context.Background(), address, pingTimeout+firstTrip) != nil {
+		pause = min(2*pause, maxProbePause)
+		if p.listed(address) && p.ping(context.Background(), address, pingTimeout+maxRoundTrip) != nil {
 			continue
 		}
 		p.mu.Lock()
-		delete(p.reach.away, address)
+		delete(p.reachability.unreachable, address)
 		p.mu.Unlock()
 		return
 	}
 }
 
-// firstTrip is the longest round trip that a probe allows for.
-const firstTrip = 100 * time.Millisecond
+// maxRoundTrip is the longest round trip that a ping allows for.
+const maxRoundTrip = 100 * time.Millisecond
 
-// Greet reaches the node at an address, whether it answers or not.
+// Ping sends a request to the node at an address, whether it answers or not.
 func (p *Proxy) Ping(ctx context.Context, address string) {
-	if err := p.ping(ctx, address, pingTimeout+firstTrip); err != nil {
-		p.ports.Log.Debug().Str(logfield.Neighbour, address).Err(err).Msg("greeting not answered")
+	if err := p.ping(ctx, address, pingTimeout+maxRoundTrip); err != nil {
+		p.ports.Log.Debug().Str(logfield.Neighbour, address).Err(err).Msg("ping failed")
 	}
 }
 
+// listed reports whether a target is listed at the node's address.
 func (p *Proxy) listed(address string) bool {
-	for _, members := range p.picture.Load().Services {
+	for _, members := range p.snapshot.Load().Services {
 		for _, member := range members {
 			if p.peerAddress(member) == address {
 				return true
@@ -129,26 +132,26 @@
 		return err
 	}
 	p.discard(response.Body)
-	p.noteHeard(address)
+	p.recordContact(address)
 	return nil
 }
 
-// assure asks the node of a target for a sign of life where there is reason to
-// doubt it. A request that could be sent again isn't held up for a long way.
-func (p *Proxy) assure(member *mesh.Member, distance placement.Distance, repeatable bool) *port.Refusal {
-	if distance == placement.OtherRegion && repeatable {
+// checkReachable pings the target's node if it may be unreachable. Retryable requests to
+// another region are sent without a ping, whose long round trip would delay them.
+func (p *Proxy) checkReachable(member *mesh.Member, distance placement.Distance, retryable bool) *port.Refusal {
+	if distance == placement.OtherRegion && retryable {
 		return nil
 	}
 	address := p.peerAddress(member)
 	now := p.ports.Clock.Now()
 	p.mu.Lock()
-	doubt := now.Before(p.reach.waryUntil) && now.Sub(p.reach.heard[address]) > heardFor
+	needsPing := now.Before(p.reachability.pingUntil) && now.Sub(p.reachability.lastContact[address]) > contactValidity
 	p.mu.Unlock()
-	if !doubt {
+	if !needsPing {
 		return nil
 	}
-	if err := p.ping(context.Background(), address, pingTimeout+firstTrip); err != nil {
-		p.noteAway(address)
+	if err := p.ping(context.Background(), address, pingTimeout+maxRoundTrip); err != nil {
+		p.markUnreachable(address)
 		return port.Refuse(port.ReasonUnreachable, retryUnreachable, "no sign of life: %v", err)
 	}
 	return nil
--- a/internal/proxy/reach_test.go
+++ b/internal/proxy/reach_test.go
@@ -11,76 +11,76 @@
 	"tamarackquay/internal/mesh"
 )
 
-// away makes the VM of a target one that nobody answers at: its packets go to an
-// address that takes none.
-func (f *fleet) away(t *testing.T, node int) {
+// makeUnreachable moves a target to an address that doesn't answer.
+func (f *fleet) makeUnreachable(t *testing.T, node int) {
 	t.Helper()
 	for _, p := range f.proxies {
-		picture := *p.picture.Load()
-		members := append([]*mesh.Member(nil), picture.Services["s"]...)
-		gone := *members[node]
-		// Loopback has no silent address: a listener with a full queue is one.
-		gone.Address = silentAddress(t, p.config.PeerPort)
-		members[node] = &gone
-		picture.Services = map[string][]*mesh.Member{"s": members}
-		p.SetSnapshot(&picture)
+		snapshot := *p.snapshot.Load()
+		members := append([]*mesh.Member(nil), snapshot.Services["s"]...)
+		unreachable := *members[node]
+		// Every loopback address answers; a listener with a full backlog doesn't.
+		unreachable.Address = unresponsiveAddress(t, p.config.PeerPort)
+		members[node] = &unreachable
+		snapshot.Services = map[string][]*mesh.Member{"s": members}
+		p.SetSnapshot(&snapshot)
 	}
 }
 
-// A partition takes a VM away and the platform goes on listing its target. One
-// request finds that out; from then on the others go elsewhere at once, since
-// only a probe in the background looks whether the VM is back.
+// A network partition disconnects a VM while the platform still lists its target. Only
+// one request detects that. All others go to another target immediately, since only a
+// background probe checks whether the VM is back.
 func TestOneRequestFindsOutThatAVMIsAway(t *testing.T) {
 	f := newFleet(t, 2)
-	f.away(t, 1)
+	f.makeUnreachable(t, 1)
 	p := f.proxies[0]
 	p.stats["t0"].Failed(time.Now())
 	const asked = 10
 	for range asked {
-		assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Body.String(), "t0 ran /idempotent/x ")
+		assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Body.String(), "t0 ran /idempotent/x ")
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	assert.Equal(t, len(p.reach.away), 1)
-	assert.Assert(t, time.Now().Before(p.reach.waryUntil))
+	assert.Equal(t, len(p.reachability.unreachable), 1)
+	assert.Assert(t, time.Now().Before(p.reachability.pingUntil))
 }
 
-// One VM was found away. A filing is sent to another node only after a sign of
-// life: written to a connection that nobody reads, its outcome would be unknown,
-// and the member could not file it again.
+// One VM was found unreachable. A non-idempotent request is sent to another node only
+// after a successful ping: if it were written to a connection that is not read, its
+// outcome would be unknown, and the caller could not retry it.
 func TestFilingIsNotSentIntoAPartition(t *testing.T) {
 	f := newFleet(t, 2)
-	f.away(t, 1)
+	f.makeUnreachable(t, 1)
 	p := f.proxies[0]
 	p.stats["t0"].Failed(time.Now())
-	p.reach.waryUntil = time.Now().Add(time.Minute)
-	assert.Equal(t, f.ask(0, "POST", "/once/x", "filing").Body.String(), "t0 ran /once/x filing")
+	p.reachability.pingUntil = time.Now().Add(time.Minute)
+	assert.Equal(t, f.send(0, "POST", "/once/x", "filing").Body.String(), "t0 ran /once/x filing")
 }
 
-// A VM that was away answers again. The probe notices, and it gets requests.
+// A VM that was unreachable answers again. The probe detects it, and its target gets
+// requests.
 func TestVMThatIsBackIsUsedAgain(t *testing.T) {
 	f := newFleet(t, 2)
 	p := f.proxies[0]
 	p.stats["t0"].Failed(time.Now())
-	p.noteAway(p.peerAddress(p.picture.Load().Services["s"][1]))
-	assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Body.String(), "t0 ran /idempotent/x ")
+	p.markUnreachable(p.peerAddress(p.snapshot.Load().Services["s"][1]))
+	assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Body.String(), "t0 ran /idempotent/x ")
 	deadline := time.Now().Add(10 * time.Second)
 	for f.targets[1].arrived.Load() == 0 && time.Now().Before(deadline) {
 		time.Sleep(20 * time.Millisecond)
-		f.ask(0, "GET", "/idempotent/x", "")
+		f.send(0, "GET", "/idempotent/x", "")
 	}
 	assert.Assert(t, f.targets[1].arrived.Load() > 0)
 }
 
-// A target is full of new requests when a call comes that another target made
-// for a request it already works on. The call gets the next slot.
+// A target is full of new requests when a call arrives that another target makes for a
+// request that it is working on. The call must get the next slot.
 func TestCallsGoBeforeNewRequests(t *testing.T) {
 	f := newFleet(t, 1)
 	call := testRoute("/call/", mesh.Idempotent)
 	call.TargetLatency = 50 * time.Millisecond
-	picture := *f.proxies[0].picture.Load()
-	picture.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: append([]mesh.Route{call}, f.table.Config.Routes...)})
-	f.proxies[0].SetSnapshot(&picture)
+	snapshot := *f.proxies[0].snapshot.Load()
+	snapshot.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: append([]mesh.Route{call}, f.table.Config.Routes...)})
+	f.proxies[0].SetSnapshot(&snapshot)
 	var mu sync.Mutex
 	var order []string
 	release := make(chan struct{})
@@ -89,10 +89,10 @@
 		order = append(order, r.URL.Path)
 		mu.Unlock()
 		<-release
-		f.targets[0].runs(w, r)
+		f.targets[0].respond(w, r)
 	}
 	var asked sync.WaitGroup
-	ask := func(path string) { asked.Go(func() { f.ask(0, "GET", path, "") }) }
+	ask := func(path string) { asked.Go(func() { f.send(0, "GET", path, "") }) }
 	for range testSlots + 2 {
 		ask("/idempotent/x")
 	}
--- a/internal/proxy/repeat.go
+++ b/internal/proxy/repeat.go
@@ -7,65 +7,66 @@
 	"tamarackquay/internal/routing/retry"
 )
 
-// grantRepeat takes one more arrival after so many out of the fleet's budget, or
-// reports false when there is none left.
-func (f *flight) grantRepeat(now time.Time, arrivals int) bool {
+// takeRetry takes one more arrival, after the given number, from the fleet's retry
+// budget. It returns false if the budget is used up or the route allows no more.
+func (f *forwarder) takeRetry(now time.Time, arrivals int) bool {
 	if arrivals >= f.route.MaxAttempts {
 		return false
 	}
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.repeats.Repeat(now, f.service, p.repeatTerms(f.picture)) {
+	if !p.retries.Repeat(now, f.service, p.retryTerms(f.snapshot)) {
 		return false
 	}
 	p.ports.Meter.Count(port.MetricRetries, f.route.Name, 1)
 	return true
 }
 
-// repeatTerms are this node's part of the fleet's budget.
-func (p *Proxy) repeatTerms(picture *Snapshot) retry.Terms {
+// retryTerms returns this node's part of the fleet's retry budget.
+func (p *Proxy) retryTerms(snapshot *Snapshot) retry.Terms {
 	nodes := 1
-	if picture != nil {
-		nodes = max(picture.Nodes, 1)
+	if snapshot != nil {
+		nodes = max(snapshot.Nodes, 1)
 	}
 	return retry.Terms{Ratio: p.config.RetryRatio, Few: p.config.RetrySlack / float64(nodes)}
 }
 
-func (p *Proxy) countRequest(f *flight) {
+// countRequest counts a caller's request for the retry budget.
+func (p *Proxy) countRequest(f *forwarder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f.repeated = p.repeats.Request(f.began, f.service, f.callerEnds)
+	f.fromRetry = p.retries.Request(f.began, f.service, f.callerDeadline)
 }
 
-// repeatPart is the chance that the next arrival is a repeat.
-func (f *flight) repeatPart() float64 {
-	if f.arrivals > 0 || f.second {
+// retryProbability returns the probability that the next arrival is a retry.
+func (f *forwarder) retryProbability() float64 {
+	if f.arrivals > 0 || f.hedged {
 		return 1
 	}
-	return f.repeated
+	return f.fromRetry
 }
 
-// beginRun counts a run at the VM's own target. A repeat is refused whose calls the
-// budget has no room for.
-func (p *Proxy) beginRun(now time.Time, t *terms, deadline time.Time) *port.Refusal {
+// beginRun counts a run at the local target. A retry is refused if the budget doesn't
+// cover the calls that it makes.
+func (p *Proxy) beginRun(now time.Time, meta *attemptMeta, deadline time.Time) *port.Refusal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	run := retry.Run{Route: t.route, Part: t.repeated, Ends: deadline}
-	if p.repeats.Begin(now, t.attempt, run, p.repeatTerms(p.picture.Load())) {
+	run := retry.Run{Route: meta.route, Part: meta.retryProbability, Ends: deadline}
+	if p.retries.Begin(now, meta.attemptID, run, p.retryTerms(p.snapshot.Load())) {
 		return nil
 	}
-	return port.Refuse(port.ReasonBusy, retryRepeat, "the budget of repeats has no room for the calls of one more")
+	return port.Refuse(port.ReasonBusy, retryAfterBudget, "the budget of repeats has no room for the calls of one more")
 }
 
-// retryRepeat is when to come back where the budget of repeats is used up: the
-// oldest repeats leave it a tenth of its window later.
-const retryRepeat = time.Second
+// retryAfterBudget is the Retry-After when the retry budget is used up: after a tenth of
+// the budget's window, the oldest retries have left it.
+const retryAfterBudget = time.Second
 
-// endRun gives back the slot of a run.
-func (p *Proxy) endRun(attempt string) {
+// endRun releases the slot of a run.
+func (p *Proxy) endRun(attemptID string) {
 	p.mu.Lock()
-	p.repeats.End(p.ports.Clock.Now(), attempt)
+	p.retries.End(p.ports.Clock.Now(), attemptID)
 	p.mu.Unlock()
-	p.gate.Leave(attempt)
+	p.gate.Leave(attemptID)
 }
--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/repeat_test.go
@@ -11,39 +11,39 @@
 	"tamarackquay/internal/mesh"
 )
 
-// arrivalsByPath counts what arrives at targets for one path prefix, beyond the
-// first of each request.
-type arrivalsByPath struct {
-	mu     sync.Mutex
-	prefix string
-	seen   map[string]int
-	first  int
-	repeat int
+// arrivalCounter counts the requests that arrive at targets for one path prefix, first
+// arrivals and retries separately.
+type arrivalCounter struct {
+	mu        sync.Mutex
+	prefix    string
+	byRequest map[string]int
+	first     int
+	retries   int
 }
 
 // isFirst counts an arrival and reports whether it is the first of its request.
-func (a *arrivalsByPath) isFirst(r *http.Request) bool {
+func (a *arrivalCounter) isFirst(r *http.Request) bool {
 	id := r.Header.Get(headers.RequestID)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.seen[id]++
-	if a.seen[id] == 1 {
+	a.byRequest[id]++
+	if a.byRequest[id] == 1 {
 		a.first++
 		return true
 	}
-	a.repeat++
+	a.retries++
 	return false
 }
 
-// Each request of two services is turned away by its first target, and each run of
-// the outer service, all of which are repeats, calls the inner one through the node
-// beside its target. Such calls count as repeats at the inner service, beside its
-// own: all together stay within the budget that its requests give.
+// Each request of two services is shed by its first target, so each run of the outer
+// service is a retry; it calls the inner service through the node on its VM. These calls
+// count as retries of the inner service, in addition to its own: together they must stay
+// within the budget given by its requests.
 func TestRepeatsLeaveRoomForCallsOfRepeatedRuns(t *testing.T) {
 	const asked = 400
 	f := newFleet(t, 2)
-	outer := &arrivalsByPath{prefix: "/outer/", seen: map[string]int{}}
-	inner := &arrivalsByPath{prefix: "/inner/", seen: map[string]int{}}
+	outer := &arrivalCounter{prefix: "/outer/", byRequest: map[string]int{}}
+	inner := &arrivalCounter{prefix: "/inner/", byRequest: map[string]int{}}
 	calls := 0
 	for i, target := range f.targets {
 		f.proxies[i].config.RetrySlack = 0
@@ -53,42 +53,43 @@
 				arrivals = inner
 			}
 			if arrivals.isFirst(r) {
-				sheds("1,0,4")(w, r)
+				shedHandler("1,0,4")(w, r)
 				return
 			}
 			if arrivals == outer {
 				inner.mu.Lock()
 				calls++
 				inner.mu.Unlock()
-				f.ask(i, "GET", "/inner/call", "")
+				f.send(i, "GET", "/inner/call", "")
 			}
-			target.runs(w, r)
+			target.respond(w, r)
 		}
-		f.route(i, outer.prefix, inner.prefix)
+		f.addRoutes(i, outer.prefix, inner.prefix)
 	}
 	for i := range asked {
-		f.ask(i%2, "GET", "/outer/x", "")
-		f.ask(i%2, "GET", "/inner/x", "")
+		f.send(i%2, "GET", "/outer/x", "")
+		f.send(i%2, "GET", "/inner/x", "")
 	}
-	t.Logf("inner: %d of its own, %d calls of %d repeated runs; outer: %d", inner.repeat, calls, outer.repeat, outer.repeat)
-	assert.Assert(t, inner.repeat+calls <= (asked+calls)/5, "%d of its own and %d by repeated runs", inner.repeat, calls)
-	assert.Assert(t, inner.repeat+calls >= asked/8, "%d of its own and %d by repeated runs", inner.repeat, calls)
-	assert.Assert(t, outer.repeat <= asked/5, "%d", outer.repeat)
+	t.Logf("inner: %d retries, %d calls of %d retried runs; outer: %d", inner.retries, calls, outer.retries, outer.retries)
+	assert.Assert(t, inner.retries+calls <= (asked+calls)/5, "%d retries and %d calls of retried runs", inner.retries, calls)
+	assert.Assert(t, inner.retries+calls >= asked/8, "%d retries and %d calls of retried runs", inner.retries, calls)
+	assert.Assert(t, outer.retries <= asked/5, "%d", outer.retries)
 }
 
-// route gives a node a service of its own name, at all targets, for each prefix.
-func (f *fleet) route(node int, prefixes ...string) {
+// addRoutes adds, for each prefix, a route to a service of the same name that runs at all
+// targets.
+func (f *fleet) addRoutes(node int, prefixes ...string) {
 	p := f.proxies[node]
-	picture := *p.picture.Load()
-	members := picture.Services["s"]
-	picture.Services = map[string][]*mesh.Member{}
+	snapshot := *p.snapshot.Load()
+	members := snapshot.Services["s"]
+	snapshot.Services = map[string][]*mesh.Member{}
 	var routes []mesh.Route
 	for _, prefix := range prefixes {
 		route := testRoute(prefix, mesh.Idempotent)
 		route.Shares[0].Service = prefix
 		routes = append(routes, route)
-		picture.Services[prefix] = members
+		snapshot.Services[prefix] = members
 	}
-	picture.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: routes})
-	p.SetSnapshot(&picture)
+	snapshot.Table = mesh.NewTable(&mesh.Config{Version: 2, Routes: routes})
+	p.SetSnapshot(&snapshot)
 }
--- a/internal/proxy/silent_test.go
+++ b/internal/proxy/silent_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// silentAddress returns an address of a host on loopback at whose port nobody
-// answers: a socket that listens with a queue of one, which is filled.
-func silentAddress(t *testing.T, port int) string {
+// unresponsiveAddress returns a loopback address at which connections to the port get no
+// answer: its socket listens with a full backlog of one.
+func unresponsiveAddress(t *testing.T, port int) string {
 	t.Helper()
 	const host = "127.0.0.99"
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -22,7 +22,7 @@
 	address := syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 99}}
 	assert.NilError(t, syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1))
 	if err := syscall.Bind(fd, &address); err != nil {
-		// A second node of the fleet asks for the same address.
+		// Another node of the fleet uses the same address.
 		return fmt.Sprint(host, ":1")
 	}
 	assert.NilError(t, syscall.Listen(fd, 0))
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -10,101 +10,103 @@
 	"tamarackquay/internal/placement"
 )
 
-// A target that hangs, or whose answer was lost, would use up all the time of a
-// request that another target could still answer. So a second one is asked after
-// slowFactor times the usual work, where it is believed to have room and the fleet's
-// budget grants another attempt. The first runs on meanwhile: given up for a target
-// that then had no room, its work was wasted and the caller got no answer at all. Of
-// requests whose work is log-normal with a spread of 0.5, 3 in 1,000 take four times
-// the mean.
+// slowFactor is how many times the usual work an attempt takes before a second target is
+// tried (hedging). A target that hangs, or whose response was lost, would otherwise use
+// up all the time in which another target could still respond. The second target must
+// have a free slot by its last load report, and the fleet's retry budget must allow the
+// attempt. The first attempt continues in parallel: cancelling it for a target that then
+// had no free slot wasted its work and left the caller without a response. If work is
+// log-normal with a spread of 0.5, 3 in 1,000 requests take four times the mean.
 const slowFactor = 4
 
-// attempt offers the request to a target, and to a second one if that is slow, and
-// returns the first good answer. Where a target answered that it failed, and another
-// may be asked, the answer comes with an error.
-func (f *flight) attempt(ctx context.Context, now time.Time, member *mesh.Member) (*answer, error) {
-	first := f.begin(ctx, now, member)
-	if !f.mayAskSecond() {
-		return f.settle(first.run())
+// attempt sends the request to a target, and to a second one if the first is slow, and
+// returns the first successful response. If a target responded with a failure and another
+// may be tried, it returns the response together with an error.
+func (f *forwarder) attempt(ctx context.Context, now time.Time, member *mesh.Member) (*bufferedResponse, error) {
+	first := f.startAttempt(ctx, now, member)
+	if !f.mayHedge() {
+		return f.handleOutcome(first.run())
 	}
 	ended := make(chan outcome, 2)
 	go func() { ended <- first.run() }()
-	timer := time.NewTimer(f.slowAfter(now, first.stats))
+	timer := time.NewTimer(f.hedgeDelay(now, first.stats))
 	defer timer.Stop()
 	select {
 	case o := <-ended:
-		return f.settle(o)
-	case <-first.answering:
-		return f.settle(<-ended)
+		return f.handleOutcome(o)
+	case <-first.headerReceived:
+		return f.handleOutcome(<-ended)
 	case <-timer.C:
 	}
-	second := f.beginSecond(ctx)
+	second := f.startHedge(ctx)
 	if second == nil {
-		return f.settle(<-ended)
+		return f.handleOutcome(<-ended)
 	}
 	go func() { ended <- second.run() }()
-	return f.settleEither(first, second, ended)
+	return f.awaitEither(first, second, ended)
 }
 
-func (f *flight) mayAskSecond() bool {
-	return f.route.Kind.Repeatable() && f.arrivals+1 < f.route.MaxAttempts && f.body.IsBuffered() && f.mayRepeat()
+// mayHedge reports whether a second attempt in parallel is allowed for this request.
+func (f *forwarder) mayHedge() bool {
+	return f.route.Kind.Repeatable() && f.arrivals+1 < f.route.MaxAttempts && f.body.IsBuffered() && f.unsuspected()
 }
 
-// slowAfter is the time after which an attempt takes far longer than usual.
-func (f *flight) slowAfter(now time.Time, stats *placement.Stats) time.Duration {
+// hedgeDelay returns the time after which an attempt takes far longer than usual.
+func (f *forwarder) hedgeDelay(now time.Time, stats *placement.Stats) time.Duration {
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usual := stats.Expected(now, &placement.Request{Work: *p.workOf(f.route)}, slowFactor)
-	return max(usual, f.route.TargetLatency)
+	expected := stats.Expected(now, &placement.Request{Work: *p.workFor(f.route)}, slowFactor)
+	return max(expected, f.route.TargetLatency)
 }
 
-// beginSecond begins an attempt beside one that is slow; nil where there is no room
-// for it. A node that stops begins none.
-func (f *flight) beginSecond(ctx context.Context) *attempt {
+// startHedge starts a second attempt in parallel with a slow one. It returns nil if no
+// target has free slots, a limit is reached, or this node is stopping.
+func (f *forwarder) startHedge(ctx context.Context) *attempt {
 	p := f.proxy
 	now := p.ports.Clock.Now()
-	if p.stopping.Load() || f.offers >= maxOffers || f.full >= fullMost {
+	if p.stopping.Load() || f.attempts >= maxAttempts || f.fullTargets >= maxFullTargets {
 		return nil
 	}
 	next := f.choose(now)
-	if next == nil || !p.hasRoom(now, next) || !f.grantRepeat(now, f.arrivals+1) {
+	if next == nil || !p.hasFreeSlots(now, next) || !f.takeRetry(now, f.arrivals+1) {
 		return nil
 	}
-	f.second = true
-	return f.begin(ctx, now, next)
+	f.hedged = true
+	return f.startAttempt(ctx, now, next)
 }
 
-func (p *Proxy) hasRoom(now time.Time, member *mesh.Member) bool {
+// hasFreeSlots reports whether a target has a free slot by its last load report.
+func (p *Proxy) hasFreeSlots(now time.Time, member *mesh.Member) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stats := p.stats[member.ID]
 	return stats != nil && stats.HasRoom(now)
 }
 
-var errSlow = errors.New("another target answered first")
+var errSlowerThanHedge = errors.New("another target responded first")
 
-// settleEither waits for the first good answer of two attempts. One that fails is
-// counted, and the other one's end is that of both.
-func (f *flight) settleEither(first, second *attempt, ended chan outcome) (*answer, error) {
+// awaitEither waits for the first successful response of two attempts. If one fails, its
+// failure is recorded and the outcome of the other is the result.
+func (f *forwarder) awaitEither(first, second *attempt, ended chan outcome) (*bufferedResponse, error) {
 	o := <-ended
-	a, err := f.settle(o)
+	resp, err := f.handleOutcome(o)
 	if err != nil {
-		f.failedOnce(a, err)
-		return f.settle(<-ended)
+		f.recordFailure(resp, err)
+		return f.handleOutcome(<-ended)
 	}
-	other := first
+	slower := first
 	if o.attempt == first {
-		other = second
+		slower = second
 	} else {
-		f.proxy.noteFailure(first.stats, loadWord{}, errSlow)
+		f.proxy.recordFailure(first.stats, loadReport{}, errSlowerThanHedge)
 	}
-	other.cancel()
+	slower.cancel()
 	go func() {
-		if late := <-ended; late.answer != nil && late.answer.rest != nil {
-			// It is read no further, which ends the connection.
-			_ = late.answer.rest.Close()
+		if loser := <-ended; loser.response != nil && loser.response.rest != nil {
+			// Closing it unread ends the connection.
+			_ = loser.response.rest.Close()
 		}
 	}()
-	return a, nil
+	return resp, nil
 }
--- a/internal/proxy/terms.go
+++ b/internal/proxy/terms.go
@@ -14,121 +14,124 @@
 	"tamarackquay/internal/quarantine"
 )
 
-// Headers between nodes.
+// Headers exchanged between nodes: attemptMeta in requests, loadReport in responses.
 const (
-	headerTerms = callhttp.HeaderPrefix + "Terms"
-	headerLoad  = callhttp.HeaderPrefix + "Load"
+	headerMeta = callhttp.HeaderPrefix + "Terms"
+	headerLoad = callhttp.HeaderPrefix + "Load"
 )
 
-const termSeparator = ";"
+const fieldSeparator = ";"
 
-// terms are what the owner node must know of a request besides its HTTP form.
-type terms struct {
-	// attempt is unique among all attempts of all nodes.
-	attempt string
-	route   string
-	// rank orders requests that wait for a slot, 0 first.
+// attemptMeta is the metadata that the entry node sends to the owner node with each
+// attempt, in addition to the HTTP request.
+type attemptMeta struct {
+	// attemptID is unique among all attempts of all nodes.
+	attemptID string
+	route     string
+	// rank orders requests that wait for a slot; 0 comes first.
 	rank int
-	// urgency orders those of one rank, the highest first.
+	// urgency orders requests of the same rank; the highest comes first.
 	urgency int
-	// budget is what is left until nobody wants the answer any more.
+	// budget is the time left until the caller stops waiting.
 	budget time.Duration
-	// wait is how long the request may wait for a slot.
-	wait time.Duration
-	// wanted is in which time the answer is worth its full credit or, once that
-	// is over, anything.
-	wanted time.Duration
-	// size is how many bytes the answer is expected to have.
-	size int
-	// revision is the platform's revision of the target's entry by which the
-	// target was chosen.
+	// maxWait is the maximum time that the request may wait for a slot.
+	maxWait time.Duration
+	// dueIn is the time left to meet the target latency or, once that has passed, the
+	// deadline.
+	dueIn time.Duration
+	// responseSize is the expected size of the response in bytes.
+	responseSize int
+	// revision is the platform's revision of the target entry used to choose the target.
 	revision uint64
-	// repeated is the chance that the run is a repeat, so that its calls count
-	// as repeats where they arrive.
-	repeated float64
-	// fingerprint is that of the request.
+	// retryProbability is the probability that this run is a retry, so that calls made by
+	// it are counted as retries by their entry node.
+	retryProbability float64
+	// fingerprint identifies the content of the request.
 	fingerprint quarantine.Fingerprint
-	// repeatable says that the request may run more than once; only the entry
-	// node needs it.
-	repeatable bool
+	// retryable reports whether the request may run more than once. It is used by the
+	// entry node only and not sent.
+	retryable bool
 }
 
-func (t *terms) encode() string {
+func (t *attemptMeta) encode() string {
 	return strings.Join([]string{
-		url.QueryEscape(t.attempt), url.QueryEscape(t.route), strconv.Itoa(t.rank),
-		callhttp.FormatMillis(t.budget), callhttp.FormatMillis(t.wait), strconv.Itoa(t.size),
+		url.QueryEscape(t.attemptID), url.QueryEscape(t.route), strconv.Itoa(t.rank),
+		callhttp.FormatMillis(t.budget), callhttp.FormatMillis(t.maxWait), strconv.Itoa(t.responseSize),
 		strconv.FormatUint(t.revision, 10), strconv.Itoa(t.urgency),
-		callhttp.FormatMillis(t.wanted), strconv.FormatFloat(t.repeated, 'f', 2, 64),
+		callhttp.FormatMillis(t.dueIn), strconv.FormatFloat(t.retryProbability, 'f', 2, 64),
 		t.fingerprint.String(),
-	}, termSeparator)
+	}, fieldSeparator)
 }
 
-const termCount = 11
+// metaFields is the number of fields of an encoded attemptMeta.
+const metaFields = 11
 
-func decodeTerms(text string) (terms, error) {
-	var t terms
-	parts := strings.Split(text, termSeparator)
-	if len(parts) != termCount {
-		return t, errors.Errorf("%d terms in place of %d", len(parts), termCount)
+func decodeMeta(text string) (attemptMeta, error) {
+	var meta attemptMeta
+	parts := strings.Split(text, fieldSeparator)
+	if len(parts) != metaFields {
+		return meta, errors.Errorf("got %d metadata fields, expected %d", len(parts), metaFields)
 	}
-	var errs [termCount]error
-	t.attempt, errs[0] = url.QueryUnescape(parts[0])
-	t.route, errs[1] = url.QueryUnescape(parts[1])
-	t.rank, errs[2] = strconv.Atoi(parts[2])
-	t.budget, errs[3] = callhttp.ParseMillis(parts[3])
-	t.wait, errs[4] = callhttp.ParseMillis(parts[4])
-	t.size, errs[5] = strconv.Atoi(parts[5])
-	t.revision, errs[6] = strconv.ParseUint(parts[6], 10, 64)
-	t.urgency, errs[7] = strconv.Atoi(parts[7])
-	t.wanted, errs[8] = callhttp.ParseMillis(parts[8])
-	t.repeated, errs[9] = strconv.ParseFloat(parts[9], 64)
-	t.fingerprint, errs[10] = quarantine.ParseFingerprint(parts[10])
+	var errs [metaFields]error
+	meta.attemptID, errs[0] = url.QueryUnescape(parts[0])
+	meta.route, errs[1] = url.QueryUnescape(parts[1])
+	meta.rank, errs[2] = strconv.Atoi(parts[2])
+	meta.budget, errs[3] = callhttp.ParseMillis(parts[3])
+	meta.maxWait, errs[4] = callhttp.ParseMillis(parts[4])
+	meta.responseSize, errs[5] = strconv.Atoi(parts[5])
+	meta.revision, errs[6] = strconv.ParseUint(parts[6], 10, 64)
+	meta.urgency, errs[7] = strconv.Atoi(parts[7])
+	meta.dueIn, errs[8] = callhttp.ParseMillis(parts[8])
+	meta.retryProbability, errs[9] = strconv.ParseFloat(parts[9], 64)
+	meta.fingerprint, errs[10] = quarantine.ParseFingerprint(parts[10])
 	for i, err := range errs {
 		if err != nil {
-			return t, errors.Wrapf(err, "term %d", i)
+			return meta, errors.Wrapf(err, "metadata field %d", i)
 		}
 	}
-	return t, nil
+	return meta, nil
 }
 
-// loadWord is what an owner node says of its target with each answer.
-type loadWord struct {
+// loadReport is the load of a target, sent by its owner node with each response.
+type loadReport struct {
 	placement.Load
-	// held is how long the target held this request, spent how long this node
-	// took for it in all, up to the answer's header.
-	held, spent time.Duration
+	// holdTime is how long the target held this request. nodeTime is how long the owner
+	// node took in total, until the response header was sent.
+	holdTime, nodeTime time.Duration
 }
 
-func (l *loadWord) write(header http.Header) {
+func (r *loadReport) write(header http.Header) {
 	header[headerLoad] = []string{strings.Join([]string{
-		strconv.Itoa(l.Running), strconv.Itoa(l.Waiting), strconv.Itoa(l.Slots),
-		strconv.FormatInt(l.Hold.Microseconds(), 10), strconv.FormatFloat(l.Failing, 'f', 2, 64),
-		strconv.FormatInt(l.held.Microseconds(), 10), strconv.FormatInt(l.spent.Microseconds(), 10),
-		strconv.FormatInt(l.LinkWait.Microseconds(), 10), strconv.FormatInt(int64(l.LinkRate), 10),
-	}, termSeparator)}
+		strconv.Itoa(r.Running), strconv.Itoa(r.Waiting), strconv.Itoa(r.Slots),
+		strconv.FormatInt(r.Hold.Microseconds(), 10), strconv.FormatFloat(r.Failing, 'f', 2, 64),
+		strconv.FormatInt(r.holdTime.Microseconds(), 10), strconv.FormatInt(r.nodeTime.Microseconds(), 10),
+		strconv.FormatInt(r.LinkWait.Microseconds(), 10), strconv.FormatInt(int64(r.LinkRate), 10),
+	}, fieldSeparator)}
 }
 
-const loadCount = 9
+// loadFields is the number of fields of an encoded loadReport.
+const loadFields = 9
 
-// readLoad reads what write wrote; false when there is nothing readable.
-func readLoad(header http.Header) (loadWord, bool) {
-	var l loadWord
-	parts := strings.Split(header.Get(headerLoad), termSeparator)
-	if len(parts) != loadCount {
-		return l, false
+// readLoadReport parses the header written by write. It returns false if the header is
+// missing or malformed.
+func readLoadReport(header http.Header) (loadReport, bool) {
+	var report loadReport
+	parts := strings.Split(header.Get(headerLoad), fieldSeparator)
+	if len(parts) != loadFields {
+		return report, false
 	}
-	var numbers [loadCount]float64
+	var numbers [loadFields]float64
 	for i, part := range parts {
 		number, err := strconv.ParseFloat(part, 64)
 		if err != nil || number < 0 {
-			return l, false
+			return report, false
 		}
 		numbers[i] = number
 	}
 	micros := func(i int) time.Duration { return time.Duration(numbers[i]) * time.Microsecond }
-	l.Running, l.Waiting, l.Slots = int(numbers[0]), int(numbers[1]), int(numbers[2])
-	l.Hold, l.Failing = micros(3), numbers[4]
-	l.held, l.spent = micros(5), micros(6)
-	l.LinkWait, l.LinkRate = micros(7), numbers[8]
-	return l, true
+	report.Running, report.Waiting, report.Slots = int(numbers[0]), int(numbers[1]), int(numbers[2])
+	report.Hold, report.Failing = micros(3), numbers[4]
+	report.holdTime, report.nodeTime = micros(5), micros(6)
+	report.LinkWait, report.LinkRate = micros(7), numbers[8]
+	return report, true
 }
