--- a/internal/requestbody/requestbody.go
+++ b/internal/requestbody/requestbody.go
@@ -1,4 +1,4 @@
-// Package requestbody hands a request's body to one attempt after another.
+// Package requestbody provides a request's body to successive attempts.
 package requestbody
 
 import (
@@ -9,32 +9,34 @@
 	"github.com/pkg/errors"
 )
 
-// KeptBytes is how large a request body may be to be kept in memory, so
-// that a refused request can be offered to another target.
+// MaxBufferedBytes is the size up to which a request body is buffered in memory, so that
+// a refused request can be sent to another target.
 const MaxBufferedBytes = 64 << 10
 
-// headBytes is how much of a larger body is read ahead, to tell it from others.
+// headBytes is how many bytes of a larger body are read ahead, to distinguish it from
+// other bodies.
 const headBytes = 4 << 10
 
-// ErrRevoked is what an attempt gets that reads a body after it was over.
-var ErrRevoked = errors.New("the attempt that read this body is over")
+// ErrRevoked is returned to an attempt that reads the body after the attempt has ended.
+var ErrRevoked = errors.New("the attempt that reads this body has ended")
 
-// Body hands a caller's body to one attempt after another. Small bodies
-// are kept whole. A large one can be handed on only as long as not a byte of it
-// was read: half of it may lie at a target that refused. It is safe for
-// concurrent use, as net/http may still read for an attempt that is over.
+// Body provides a caller's body to successive attempts. Small bodies are buffered
+// completely. A large body can be passed to another attempt only while none of it has
+// been read: otherwise a part of it may already be at the target that refused. Body is
+// safe for concurrent use, since net/http may still read for an attempt that has ended.
 type Body struct {
-	kept   []byte
-	stream io.Reader
+	buffered []byte
+	stream   io.Reader
 	// head is the first part of the stream.
 	head []byte
 
-	mu      sync.Mutex
-	current *bodyReader
-	touched bool
+	mu       sync.Mutex
+	current  *bodyReader
+	consumed bool
 }
 
-// Read keeps a small body. The length is negative when it is not known.
+// Read reads a small body completely and the beginning of a large one. The length is
+// negative if unknown.
 func Read(body io.Reader, length int64) (*Body, int64, error) {
 	if body == nil || length == 0 {
 		return &Body{}, 0, nil
@@ -45,76 +47,76 @@
 	}
 	head, err := io.ReadAll(io.LimitReader(body, ahead))
 	if err != nil {
-		return nil, 0, errors.Wrap(err, "body")
+		return nil, 0, errors.Wrap(err, "read body")
 	}
 	if length > MaxBufferedBytes || len(head) > MaxBufferedBytes {
 		return &Body{stream: io.MultiReader(bytes.NewReader(head), body), head: head}, length, nil
 	}
-	return &Body{kept: head}, int64(len(head)), nil
+	return &Body{buffered: head}, int64(len(head)), nil
 }
 
-// IsKept reports whether any number of attempts can have the whole body.
+// IsBuffered reports whether any number of attempts can read the whole body.
 func (b *Body) IsBuffered() bool { return b.stream == nil }
 
-// Head returns what is known of the body before an attempt: all of a small one, and the first
-// bytes of a large one. It must not be changed.
+// Head returns the part of the body that is available before an attempt: all of a small
+// body, and the first bytes of a large one. It must not be modified.
 func (b *Body) Head() []byte {
 	if b.stream == nil {
-		return b.kept
+		return b.buffered
 	}
 	return b.head[:min(len(b.head), headBytes)]
 }
 
-// Reader returns the body for the next attempt and takes it from the last one;
-// nil if there is none. Of a large body that was read in part the next attempt
-// gets an error and not the rest: its target would take the rest for all.
+// Reader returns the body for the next attempt and revokes the reader of the previous
+// one; nil if there is no body. If a large body was read in part, the new reader returns
+// an error instead of the rest, which the target would take for the whole body.
 func (b *Body) Reader() io.Reader {
 	if b.stream == nil {
-		if len(b.kept) == 0 {
+		if len(b.buffered) == 0 {
 			return nil
 		}
-		return bytes.NewReader(b.kept)
+		return bytes.NewReader(b.buffered)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next := &bodyReader{body: b}
-	if !b.touched {
+	if !b.consumed {
 		b.current = next
 	}
 	return next
 }
 
-// Again reports whether another attempt can have the whole body. After it said
-// yes, earlier attempts can read nothing any more.
+// Rewind reports whether another attempt can read the whole body. After it returned true
+// for a large body, earlier attempts can't read it any more.
 func (b *Body) Rewind() bool {
 	if b.stream == nil {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.touched {
+	if !b.consumed {
 		b.current = nil
 	}
-	return !b.touched
+	return !b.consumed
 }
 
-// bodyReader is one attempt's hold on a large body.
+// bodyReader reads a large body for one attempt.
 type bodyReader struct{ body *Body }
 
 // Read implements io.Reader.
 func (r *bodyReader) Read(p []byte) (int, error) {
-	if !r.body.touch(r) {
+	if !r.body.consume(r) {
 		return 0, ErrRevoked
 	}
 	return r.body.stream.Read(p)
 }
 
-func (b *Body) touch(by *bodyReader) bool {
+func (b *Body) consume(by *bodyReader) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.current != by {
 		return false
 	}
-	b.touched = true
+	b.consumed = true
 	return true
 }
