--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,4 @@
-// Package wait holds the one way in which adapters and tools wait: for a time,
-// or until they are told to stop.
+// Package wait provides interruptible waits and idle timeouts for streams.
 package wait
 
 import (
@@ -8,8 +7,7 @@
 	"time"
 )
 
-// Sleep waits for d. It returns false as soon as ctx ends, also for a d that is
-// not above zero.
+// Sleep waits for d. It returns false as soon as ctx ends, even if d is zero or negative.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -24,20 +22,20 @@
 	}
 }
 
-// Progress reads from a stream and puts a timer off with each byte that comes, so
-// that the timer tells silence from a long message on a full link.
+// IdleReader reads from a stream and resets a timer whenever bytes arrive. The timer thus
+// detects an idle connection, but doesn't fire during a long message on a busy link.
 type IdleReader struct {
 	Source io.Reader
 	Timer  *time.Timer
-	// Silence is for how long the timer is put off.
+	// IdleTimeout is the duration to which the timer is reset.
 	IdleTimeout time.Duration
 }
 
 // Read implements io.Reader.
-func (p *IdleReader) Read(b []byte) (int, error) {
-	n, err := p.Source.Read(b)
+func (r *IdleReader) Read(b []byte) (int, error) {
+	n, err := r.Source.Read(b)
 	if n > 0 {
-		p.Timer.Reset(p.IdleTimeout)
+		r.Timer.Reset(r.IdleTimeout)
 	}
 	return n, err
 }
