--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -149,8 +149,8 @@
 	}
 }
 
-func pace(s settings.Settings) distribution.Pace {
-	pace := distribution.DefaultPace()
+func pace(s settings.Settings) distribution.ReadPacing {
+	pace := distribution.DefaultReadPacing()
 	pace.Readers = s.Platform.Readers
 	pace.StartSpread = s.Platform.StartSpread.Std()
 	return pace
@@ -158,7 +158,7 @@
 
 func distributionConfig(s settings.Settings) distribution.Config {
 	config := distribution.DefaultConfig()
-	config.Patience = s.Platform.Patience.Std()
+	config.CrossRegionDelay = s.Platform.Patience.Std()
 	config.Redundancy = s.Platform.Redundancy
 	return config
 }
--- a/internal/adapter/peerws/codec_test.go
+++ b/internal/adapter/peerws/codec_test.go
@@ -24,7 +24,7 @@
 // error: a crash here would let one peer take a domain down.
 func FuzzDecode(f *testing.F) {
 	for _, message := range []port.Message{port.Heartbeat{}, port.PartsReply{Parts: [][]byte{{1}}}, port.Busy{RetryAfter: 1},
-		port.Gossip{Records: make([]membership.Record, 2), Marks: make([]membership.Mark, 1)}, port.ProbeRequest{}, port.ProbeReply{},
+		port.Gossip{Records: make([]membership.Record, 2), Marks: make([]membership.DepartureMark, 1)}, port.ProbeRequest{}, port.ProbeReply{},
 		port.SyncRequest{Digest: make([]membership.DomainDigest, 2)}, port.SyncReply{Domains: []string{"a"}, Records: make([]membership.Record, 1)}} {
 		raw, err := encode(message, 1, 2)
 		assert.NilError(f, err)
--- a/internal/distribution/bench_test.go
+++ b/internal/distribution/bench_test.go
@@ -94,7 +94,7 @@
 		b.Run(fmt.Sprintf("nodes-%d", nodes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Audience(DefaultConfig(), vms[0], vms, snapshot.Hash{}, FromPlatform)
+				AnnouncePeers(DefaultConfig(), vms[0], vms, snapshot.Hash{}, FromPlatform)
 			}
 		})
 	}
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -24,7 +24,7 @@
 	// policy between time (short) and cross-region bytes (long). Announces from
 	// another region, and what was overheard from another failure domain of the
 	// same region, wait a quarter of it.
-	Patience time.Duration
+	CrossRegionDelay time.Duration
 	// Redundancy is how many paths lead a version into each failure domain
 	// and to each node of it, so that one lost announce delays nobody.
 	Redundancy int
@@ -39,11 +39,11 @@
 	FetchTimeout time.Duration
 	// BackupWait is about how long a node that is not the first reader of its
 	// region leaves the platform's parts to that reader.
-	BackupWait time.Duration
+	BackupDelay time.Duration
 	// ReadyHold bounds how long a fresh process waits for a version that was
 	// only reported to it, and for reports, so that a false number or a fleet
 	// that is gone can't keep it out for ever.
-	ReadyHold time.Duration
+	ReadyTimeout time.Duration
 	// ReadyReports is how many peers' versions a fresh process hears before
 	// it trusts that none has a higher one.
 	ReadyReports int
@@ -52,9 +52,9 @@
 // DefaultConfig suits a fleet of one to a few thousand nodes.
 func DefaultConfig() Config {
 	return Config{
-		Patience: time.Second, Redundancy: 2, Children: 3,
+		CrossRegionDelay: time.Second, Redundancy: 2, Children: 3,
 		FetchRetry: 500 * time.Millisecond, FetchRetryMax: 30 * time.Second, FetchTimeout: 10 * time.Second,
-		BackupWait: 3 * time.Second, ReadyHold: 10 * time.Second, ReadyReports: 3,
+		BackupDelay: 3 * time.Second, ReadyTimeout: 10 * time.Second, ReadyReports: 3,
 	}
 }
 
@@ -108,7 +108,7 @@
 
 // Reported returns the highest version that a source claims now, and at least
 // the one in force. Refused versions don't count: nobody will have them.
-func (s *State) Reported() snapshot.Version {
+func (s *State) ReportedVersion() snapshot.Version {
 	highest := s.inForce()
 	for _, known := range s.sources {
 		if known.claim.newerThan(highest) && !s.refused.has(known.claim) {
@@ -120,7 +120,7 @@
 
 // SetPlace tells the state how many peers are known and how many live VMs of
 // the region come before this one in the order of readers.
-func (s *State) SetPlace(peers, rank int) { s.peers, s.rank = peers, rank }
+func (s *State) SetPeers(peers, rank int) { s.peers, s.rank = peers, rank }
 
 // Ready reports whether the node may serve. A fresh process must not serve
 // what a stale platform gave it while its peers hold a newer version: callers
@@ -130,10 +130,10 @@
 	if s.applied == nil {
 		return false
 	}
-	if now.Sub(s.started) >= s.config.ReadyHold {
+	if now.Sub(s.started) >= s.config.ReadyTimeout {
 		return true
 	}
-	return len(s.heard) >= min(s.peers, s.config.ReadyReports) && !s.Reported().NewerThan(s.AppliedVersion())
+	return len(s.heard) >= min(s.peers, s.config.ReadyReports) && !s.ReportedVersion().NewerThan(s.AppliedVersion())
 }
 
 // VersionReported takes what a peer claims to have. It starts a pull, now or
@@ -156,11 +156,11 @@
 // have the version too: without that each change crosses twice. A node without
 // any version does not wait: it serves nobody until it has one.
 func (s *State) patience(claim Claim) time.Duration {
-	part := s.config.Patience
+	part := s.config.CrossRegionDelay
 	switch {
-	case s.applied == nil, claim.Distance == SameDomain, claim.Told && claim.Distance == SameRegion:
+	case s.applied == nil, claim.Distance == SameDomain, claim.Announced && claim.Distance == SameRegion:
 		return 0
-	case claim.Distance == SameRegion, claim.Told:
+	case claim.Distance == SameRegion, claim.Announced:
 		part /= 4
 	}
 	return around(s.random, part)
@@ -232,7 +232,7 @@
 	}
 	if known.claim.newerThan(offered) {
 		s.failed(now, from, 0)
-		s.pauseEnd = now.Add(RetryAfter(s.random, s.config.FetchRetry, s.config.FetchRetry, 1))
+		s.pauseEnd = now.Add(Backoff(s.random, s.config.FetchRetry, s.config.FetchRetry, 1))
 	}
 	known.claim = offered
 }
@@ -248,7 +248,7 @@
 	}
 	due := now
 	if s.rank > 0 {
-		due = now.Add(around(s.random, s.config.BackupWait))
+		due = now.Add(around(s.random, s.config.BackupDelay))
 	}
 	s.learn(now, Platform, offered, FromPlatform, due)
 }
@@ -286,7 +286,7 @@
 		return
 	}
 	known.failures++
-	pause := RetryAfter(s.random, s.config.FetchRetry, s.config.FetchRetryMax, known.failures)
+	pause := Backoff(s.random, s.config.FetchRetry, s.config.FetchRetryMax, known.failures)
 	known.notBefore = now.Add(retryAfter + pause)
 }
 
@@ -326,7 +326,7 @@
 // Wake returns when Tick should be called next, or the zero time when nothing
 // is due. Times up to now are left out: what they allowed has been done, or
 // waits for an answer whose own deadline counts here.
-func (s *State) Wake(now time.Time) time.Time {
+func (s *State) NextTick(now time.Time) time.Time {
 	times := []time.Time{s.pauseEnd}
 	if s.asked != nil {
 		times = append(times, s.asked.deadline)
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -94,7 +94,7 @@
 	first := s.VersionReported(start, claimFrom(1, version, SameDomain))
 	s.VersionReported(start, claimFrom(2, version, SameDomain))
 	assert.DeepEqual(t, first, []Effect{FetchManifest{From: "vm-1"}})
-	timeout := s.Wake(start)
+	timeout := s.NextTick(start)
 	assert.Assert(t, !timeout.IsZero())
 	assert.DeepEqual(t, s.Tick(timeout), []Effect{FetchManifest{From: "vm-2"}})
 }
@@ -109,7 +109,7 @@
 		s.VersionReported(start, claim)
 	}
 	asked := s.ManifestReceived(start, "vm-0", publication.Manifest)[0].(FetchParts)
-	again := s.Tick(s.Wake(start))
+	again := s.Tick(s.NextTick(start))
 	assert.Equal(t, count[FetchParts](again), 1)
 	assert.Assert(t, again[0].(FetchParts).From != asked.From)
 }
@@ -129,14 +129,14 @@
 	s = newState()
 	feed(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
 	s.VersionReported(start, far)
-	wait := s.Wake(start).Sub(start)
-	assert.Assert(t, wait >= DefaultConfig().Patience/2 && wait <= 2*DefaultConfig().Patience, "%s", wait)
-	far.Told = true
+	wait := s.NextTick(start).Sub(start)
+	assert.Assert(t, wait >= DefaultConfig().CrossRegionDelay/2 && wait <= 2*DefaultConfig().CrossRegionDelay, "%s", wait)
+	far.Announced = true
 	assert.Equal(t, count[FetchManifest](s.VersionReported(start, far)), 0)
-	wait = s.Wake(start).Sub(start)
-	assert.Assert(t, wait > 0 && wait <= DefaultConfig().Patience/2, "%s", wait)
+	wait = s.NextTick(start).Sub(start)
+	assert.Assert(t, wait > 0 && wait <= DefaultConfig().CrossRegionDelay/2, "%s", wait)
 	near = claimFrom(2, far.Version, SameRegion)
-	near.Told = true
+	near.Announced = true
 	assert.DeepEqual(t, s.VersionReported(start, near), []Effect{FetchManifest{From: "vm-2"}})
 }
 
@@ -237,14 +237,14 @@
 // that are gone hold it back for ReadyHold only.
 func TestFreshProcessHearsItsPeersBeforeItServes(t *testing.T) {
 	s := newState()
-	s.SetPlace(5, 0)
+	s.SetPeers(5, 0)
 	feed(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
 	assert.Assert(t, !s.Ready(start))
 	for i := range 3 {
 		s.VersionReported(start, claimFrom(i, snapshot.Version{Epoch: 1, Revision: uint64(i)}, SameDomain))
 	}
 	assert.Assert(t, !s.Ready(start), "version 1.2 was reported")
-	assert.Assert(t, s.Ready(start.Add(DefaultConfig().ReadyHold)))
+	assert.Assert(t, s.Ready(start.Add(DefaultConfig().ReadyTimeout)))
 	feed(s, start, build(t, 2, 2, snapshot.Hash{}, "tally"))
 	assert.Assert(t, s.Ready(start))
 }
@@ -284,9 +284,9 @@
 	s := newState()
 	feed(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
 	s.VersionReported(start, claimFrom(1, snapshot.Version{Epoch: 7, Revision: 7}, SameDomain))
-	assert.Equal(t, s.Reported(), snapshot.Version{Epoch: 7, Revision: 7})
+	assert.Equal(t, s.ReportedVersion(), snapshot.Version{Epoch: 7, Revision: 7})
 	s.Tick(start.Add(2 * time.Minute))
-	assert.Equal(t, s.Reported(), s.AppliedVersion())
+	assert.Equal(t, s.ReportedVersion(), s.AppliedVersion())
 }
 
 // The platform's newest version is a bad one. A fresh process that counted it
@@ -300,7 +300,7 @@
 	s.VersionReported(start, claim)
 	feed(s, start, good)
 	assert.Assert(t, s.Ready(start))
-	assert.Equal(t, s.Reported(), good.Manifest.Version)
+	assert.Equal(t, s.ReportedVersion(), good.Manifest.Version)
 }
 
 // Found by the property test (seed 22, 60 steps). Two peers have two versions,
--- a/internal/distribution/feeds.go
+++ b/internal/distribution/feeds.go
@@ -10,11 +10,11 @@
 // platform, the next ones follow them, and each further level follows the one before it.
 // So the feeds that a VM serves are bounded however large the region is, and a
 // region that one level suffices for has no other.
-type Feeds struct {
+type FeedTopology struct {
 	// Readers is how many VMs everyone in the first level follows.
 	Readers int
 	// Most is how many feeds a VM serves, on average over its level at most.
-	Most int
+	FeedsPerVM int
 }
 
 // parentsPerVM is how many VMs of the level before it a VM follows: the loss of one cuts
@@ -25,12 +25,12 @@
 type level struct{ first, end int }
 
 // levels returns the level of the VM at a place, the one before it and the one after it.
-func (c Feeds) levels(place int) (before, own, after level) {
+func (c FeedTopology) levels(place int) (before, own, after level) {
 	own = level{0, c.Readers}
-	after = level{c.Readers, c.Readers + c.Most}
+	after = level{c.Readers, c.Readers + c.FeedsPerVM}
 	for place >= own.end {
 		before, own = own, after
-		after = level{own.end, own.end + (own.end-own.first)*c.Most/parentsPerVM}
+		after = level{own.end, own.end + (own.end-own.first)*c.FeedsPerVM/parentsPerVM}
 	}
 	return before, own, after
 }
@@ -39,8 +39,8 @@
 // readers in the first level, and further on two of the level before, chosen so that few
 // choose others when a VM comes or goes: one of its own failure domain, where the bytes
 // stay inside, and one of another, so that the loss of a domain leaves one.
-func (c Feeds) Parents(order []membership.VM, place int) []membership.VM {
-	if place < c.Readers+c.Most {
+func (c FeedTopology) Parents(order []membership.VM, place int) []membership.VM {
+	if place < c.Readers+c.FeedsPerVM {
 		return order[:min(c.Readers, len(order))]
 	}
 	before, _, _ := c.levels(place)
@@ -63,7 +63,7 @@
 }
 
 // Children returns the VMs that follow the one at a place of the order.
-func (c Feeds) Children(order []membership.VM, place int) []membership.VM {
+func (c FeedTopology) Children(order []membership.VM, place int) []membership.VM {
 	_, own, after := c.levels(place)
 	if own.first == 0 {
 		// The readers follow each other as well.
--- a/internal/distribution/feeds_test.go
+++ b/internal/distribution/feeds_test.go
@@ -11,7 +11,7 @@
 	"tamarackquay/internal/membership"
 )
 
-var testFeeds = Feeds{Readers: 2, Most: 8}
+var testFeeds = FeedTopology{Readers: 2, FeedsPerVM: 8}
 
 // regionOrder is a region of so many VMs in three failure domains, as its first VM
 // orders them.
@@ -42,11 +42,11 @@
 				assert.Assert(t, parents[0].ID != vm.ID && parents[1].ID != vm.ID)
 				steps[vm.ID] = 1 + max(steps[parents[0].ID], steps[parents[1].ID])
 				// log4 of the fleet, and the levels at both ends.
-				assert.Assert(t, steps[vm.ID] <= 2+int(math.Log(float64(vms))/math.Log(float64(testFeeds.Most/parentsPerVM))))
+				assert.Assert(t, steps[vm.ID] <= 2+int(math.Log(float64(vms))/math.Log(float64(testFeeds.FeedsPerVM/parentsPerVM))))
 			}
 			for id, count := range feeds {
 				// Choices are by hash: of some hundred VMs one is chosen by far more than most.
-				assert.Assert(t, count <= 3*testFeeds.Most, "%s serves %d", id, count)
+				assert.Assert(t, count <= 3*testFeeds.FeedsPerVM, "%s serves %d", id, count)
 			}
 			if vms > 400 {
 				return
--- a/internal/distribution/place.go
+++ b/internal/distribution/place.go
@@ -123,7 +123,7 @@
 // failure domain once per path, and spreads inside the domain along trees. With
 // one path a lost announce cuts off a subtree until the next heartbeats; each
 // further path has another order, so that a node hangs from another parent.
-func Audience(config Config, self membership.VM, live []membership.VM, root snapshot.Hash, origin Distance) []membership.VM {
+func AnnouncePeers(config Config, self membership.VM, live []membership.VM, root snapshot.Hash, origin Distance) []membership.VM {
 	a := &audience{self: self, chosen: map[string]bool{self.ID: true}}
 	regions, domains := byPlace(self, live)
 	for path := range config.Redundancy {
@@ -193,14 +193,14 @@
 
 // Pace bounds what the whole fleet reads of the platform by what each node
 // does, without any of them knowing what the others do.
-type Pace struct {
+type ReadPacing struct {
 	// Readers is how many nodes of a region hold a watch.
 	Readers int
 	// FleetRate is how many reads a second all nodes that are no readers make
 	// together, of each kind (manifest, VM list).
 	FleetRate float64
 	// Least is the shortest time between two such reads of one node.
-	Least time.Duration
+	MinInterval time.Duration
 	// StartSpread is the time over which nodes that start together spread
 	// their first reads.
 	StartSpread time.Duration
@@ -210,21 +210,21 @@
 
 // DefaultPace keeps 1,600 nodes in 4 regions under 1,000 reads a second when
 // all start at once, and near 10 a second at rest.
-func DefaultPace() Pace {
-	return Pace{Readers: 2, FleetRate: 4, Least: 10 * time.Second, StartSpread: 4 * time.Second, PartsRate: 80}
+func DefaultReadPacing() ReadPacing {
+	return ReadPacing{Readers: 2, FleetRate: 4, MinInterval: 10 * time.Second, StartSpread: 4 * time.Second, PartsRate: 80}
 }
 
 // ProbeAfter returns how long a node that is no reader waits for its next read
 // of the platform. Whatever silences the readers (a pause, a cut that they
 // don't notice, views that differ), some node of the fleet finds the news
 // within a moment, and the fleet's reads don't grow with its size.
-func (p Pace) ProbeAfter(random *rand.Rand, live int) time.Duration {
+func (p ReadPacing) ProbeDelay(random *rand.Rand, live int) time.Duration {
 	interval := time.Duration(float64(live) / p.FleetRate * float64(time.Second))
-	return around(random, max(interval, p.Least))
+	return around(random, max(interval, p.MinInterval))
 }
 
 // StartAfter returns how long a fresh process waits for its first read.
-func (p Pace) StartAfter(random *rand.Rand) time.Duration {
+func (p ReadPacing) StartDelay(random *rand.Rand) time.Duration {
 	if p.StartSpread <= 0 {
 		return 0
 	}
--- a/internal/distribution/place_test.go
+++ b/internal/distribution/place_test.go
@@ -36,7 +36,7 @@
 	for len(queue) > 0 {
 		teller := queue[0]
 		queue = queue[1:]
-		audience := Audience(config, teller, vms, root, reached[teller.ID])
+		audience := AnnouncePeers(config, teller, vms, root, reached[teller.ID])
 		assert.Assert(t, len(audience) <= 3+3+config.Children+1, "one node tells %d", len(audience))
 		for _, vm := range audience {
 			messages++
@@ -87,11 +87,11 @@
 func TestFleetReadsAreBounded(t *testing.T) {
 	const nodes, regions, kinds = 1600, 4, 2
 	const watchWait, listInterval = 20, 5
-	pace := DefaultPace()
+	pace := DefaultReadPacing()
 	random := rand.New(rand.NewPCG(1, 2))
 	var probes float64
 	for range nodes {
-		probes += kinds / pace.ProbeAfter(random, nodes).Seconds()
+		probes += kinds / pace.ProbeDelay(random, nodes).Seconds()
 	}
 	readers := float64(regions * pace.Readers)
 	rest := probes + readers*(2.0/watchWait+1.0/listInterval)
@@ -100,7 +100,7 @@
 
 	perSecond := map[int]int{}
 	for range nodes {
-		perSecond[int(pace.StartAfter(random)/time.Second)]++
+		perSecond[int(pace.StartDelay(random)/time.Second)]++
 	}
 	peak := 0
 	for _, lists := range perSecond {
--- a/internal/distribution/property_test.go
+++ b/internal/distribution/property_test.go
@@ -60,7 +60,7 @@
 			"false report": func(t *rapid.T) {
 				from := rapid.SampledFrom(w.nodes).Draw(t, "from").id
 				to := rapid.SampledFrom(w.nodes).Draw(t, "to")
-				claim := Claim{From: from, Version: snapshot.Version{Epoch: 9, Revision: 9}, Told: true}
+				claim := Claim{From: from, Version: snapshot.Version{Epoch: 9, Revision: 9}, Announced: true}
 				w.perform(to, to.state.VersionReported(w.now, claim))
 			},
 			"deliver": func(*rapid.T) { w.take(false)() },
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -36,7 +36,7 @@
 	// Told is set when the peer announced the version to this node on
 	// purpose. Such a claim is acted on sooner than one overheard on a
 	// heartbeat.
-	Told bool
+	Announced bool
 }
 
 // content orders versions that were published under one number by their root,
@@ -101,7 +101,7 @@
 // RetryAfter returns a pause before another try: uniform between zero and a
 // bound that doubles with each failure. Peers that failed together thus don't
 // come back together.
-func RetryAfter(random *rand.Rand, base, limit time.Duration, failures int) time.Duration {
+func Backoff(random *rand.Rand, base, limit time.Duration, failures int) time.Duration {
 	bound := min(base<<min(max(failures-1, 0), maxDoublings), limit)
 	if bound <= 0 {
 		return 0
--- a/internal/distribution/world_test.go
+++ b/internal/distribution/world_test.go
@@ -186,7 +186,7 @@
 // claim sends a heartbeat's or announce's word about a version.
 func (w *world) claim(from, to *worldNode, told bool) {
 	inForce := from.state.inForce()
-	claim := Claim{From: from.id, Version: inForce.version, Root: inForce.root, Told: told, Distance: OtherRegion}
+	claim := Claim{From: from.id, Version: inForce.version, Root: inForce.root, Announced: told, Distance: OtherRegion}
 	w.send(func() { w.perform(to, to.state.VersionReported(w.now, claim)) })
 }
 
--- a/internal/follow/large_test.go
+++ b/internal/follow/large_test.go
@@ -70,7 +70,7 @@
 		assert.Equal(t, len(used), 0, "%v", used)
 		most, _ := w.takeSent()
 		// Each feed carries the routes once, and some nodes serve more feeds than most.
-		assert.Assert(t, most <= 3*spread.Most*(routeBytes*manyRoutes+entryBytes+20*beatBytes), "%d bytes", most)
+		assert.Assert(t, most <= 3*spread.FeedsPerVM*(routeBytes*manyRoutes+entryBytes+20*beatBytes), "%d bytes", most)
 	})
 }
 
@@ -107,7 +107,7 @@
 		reads := w.takeReads()
 		assert.Assert(t, reads <= int(largeWithin/time.Second)+2, "%d reads", reads)
 		most, _ := w.takeSent()
-		assert.Assert(t, most <= 3*spread.Most*(routeBytes*manyRoutes+entryBytes+40*beatBytes), "%d bytes", most)
+		assert.Assert(t, most <= 3*spread.FeedsPerVM*(routeBytes*manyRoutes+entryBytes+40*beatBytes), "%d bytes", most)
 	})
 }
 
--- a/internal/follow/measure_test.go
+++ b/internal/follow/measure_test.go
@@ -61,12 +61,12 @@
 	defer func() { spread = built }()
 	for _, way := range []struct {
 		desc  string
-		feeds distribution.Feeds
+		feeds distribution.FeedTopology
 	}{
-		{"one level", distribution.Feeds{Readers: readers, Most: 1 << 20}},
-		{"levels of 8", distribution.Feeds{Readers: readers, Most: 8}},
-		{"levels of 24", distribution.Feeds{Readers: readers, Most: 24}},
-		{"levels of 48", distribution.Feeds{Readers: readers, Most: 48}},
+		{"one level", distribution.FeedTopology{Readers: readers, FeedsPerVM: 1 << 20}},
+		{"levels of 8", distribution.FeedTopology{Readers: readers, FeedsPerVM: 8}},
+		{"levels of 24", distribution.FeedTopology{Readers: readers, FeedsPerVM: 24}},
+		{"levels of 48", distribution.FeedTopology{Readers: readers, FeedsPerVM: 48}},
 	} {
 		t.Run(way.desc, func(t *testing.T) {
 			spread = way.feeds
--- a/internal/follow/neighbours.go
+++ b/internal/follow/neighbours.go
@@ -19,7 +19,7 @@
 // spread bounds the feeds that a node serves. A reader that fed a whole region of some
 // hundred nodes sent each change over its link as often, and spent its processor time on
 // beats.
-var spread = distribution.Feeds{Readers: readers, Most: 8}
+var spread = distribution.FeedTopology{Readers: readers, FeedsPerVM: 8}
 
 // staleParents is how many nodes of its region a node follows whose view is old
 // though it tries to read the platform itself. The platform may turn away this
--- a/internal/follow/notices_test.go
+++ b/internal/follow/notices_test.go
@@ -62,8 +62,8 @@
 		time.Sleep(500 * time.Millisecond)
 		assert.Equal(t, len(w.unaware(poison)), 0, "%v", w.unaware(poison))
 		most, _ := w.takeSent()
-		beats := 3 * spread.Most * beatBytes * 10
-		assert.Assert(t, most-beats <= 3*spread.Most*3*200, "%d bytes", most)
+		beats := 3 * spread.FeedsPerVM * beatBytes * 10
+		assert.Assert(t, most-beats <= 3*spread.FeedsPerVM*3*200, "%d bytes", most)
 	})
 }
 
--- a/internal/membership/changes.go
+++ b/internal/membership/changes.go
@@ -9,7 +9,7 @@
 	// Raised is set when this node raised its own incarnation, because peers
 	// held a higher one: from an earlier start when the clock stood ahead, or
 	// from another process that uses the same VM id.
-	Raised bool
+	IncarnationRaised bool
 }
 
 // maxChanges bounds the changes kept for the trail between two takes.
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -15,7 +15,7 @@
 	Record Record
 	// Across is set for a probe of another domain: its failure tells of the
 	// path between the domains and makes no VM suspect.
-	Across bool
+	CrossDomain bool
 }
 
 // neighbours are the VMs that this node talks to in normal times: a bounded
@@ -79,9 +79,9 @@
 // it for all records. While young, it asks again those it meets as long as
 // VMs of the list are unheard: nodes of a herd restart find each other first and
 // would take themselves for the whole fleet.
-func (t *Table) FirstSync(now time.Time) bool {
+func (t *Table) InitialSyncDue(now time.Time) bool {
 	if t.synced {
-		island := t.young() && t.view != nil && t.view.Unheard > 0
+		island := t.young() && t.view != nil && t.view.Unconfirmed > 0
 		if !island || now.Sub(t.lastSync) < t.config.heartbeat() {
 			return false
 		}
@@ -132,7 +132,7 @@
 	var probes []Probe
 	for _, d := range tried {
 		if vm, ok := t.contactOf(d); ok {
-			probes = append(probes, Probe{VM: vm, Record: t.members[vm.ID].record, Across: true})
+			probes = append(probes, Probe{VM: vm, Record: t.members[vm.ID].record, CrossDomain: true})
 		}
 	}
 	return probes
@@ -184,7 +184,7 @@
 	var probes []Probe
 	for range min(count, len(silent)) {
 		i := t.random.IntN(len(silent))
-		probes = append(probes, Probe{VM: silent[i].record.VM, Record: silent[i].record, Across: true})
+		probes = append(probes, Probe{VM: silent[i].record.VM, Record: silent[i].record, CrossDomain: true})
 		silent = slices.Delete(silent, i, i+1)
 	}
 	return probes
@@ -195,7 +195,7 @@
 // its path. One of them stands in another domain, where the domain's own faults
 // don't show.
 func (t *Table) ProbeFailed(now time.Time, probe Probe) (helpers []VM, judge bool) {
-	if probe.Across {
+	if probe.CrossDomain {
 		if d, ok := t.domains[probe.VM.FailureDomain]; ok {
 			d.failures++
 		}
@@ -221,7 +221,7 @@
 }
 
 // Verdict is what the helpers of a failed probe found.
-type Verdict struct {
+type IndirectProbeResult struct {
 	// Asked and Answered count the helpers.
 	Asked, Answered int
 	// Reached is set when one of them reached the VM.
@@ -231,7 +231,7 @@
 // Judged makes a VM suspect that neither this node nor its helpers reached. If
 // no helper answered either, the fault is more likely here: a node that is cut
 // off would call the whole fleet suspect, one by one.
-func (t *Table) Judged(now time.Time, probe Probe, verdict Verdict) bool {
+func (t *Table) IndirectProbeDone(now time.Time, probe Probe, verdict IndirectProbeResult) bool {
 	m, ok := t.members[probe.VM.ID]
 	alone := verdict.Asked > 0 && verdict.Answered == 0
 	if !ok || verdict.Reached || alone || m.record != probe.Record || now.Before(t.trustAfter) {
@@ -241,7 +241,7 @@
 	t.hurry = maxHurry
 	suspect := m.record
 	suspect.State = Suspect
-	return t.Heard(now, suspect)
+	return t.RecordReceived(now, suspect)
 }
 
 // neighbours returns the neighbours, found anew after a change.
--- a/internal/membership/domain.go
+++ b/internal/membership/domain.go
@@ -90,7 +90,7 @@
 // Contact notes that a VM was heard directly. It reports whether that ended a
 // silence, of the VM's domain or of all: the VM should then be asked for what
 // was missed, since others may have departed meanwhile.
-func (t *Table) Contact(now time.Time, vm VM) bool {
+func (t *Table) ContactMade(now time.Time, vm VM) bool {
 	if vm.ID == t.self.record.VM.ID {
 		return false
 	}
@@ -137,7 +137,7 @@
 const hopAge = 100 * time.Millisecond
 
 // ContactsHeard takes what a VM of the same failure domain knows of others.
-func (t *Table) ContactsHeard(now time.Time, from VM, contacts []DomainContact) {
+func (t *Table) ContactsReceived(now time.Time, from VM, contacts []DomainContact) {
 	if from.FailureDomain != t.self.record.VM.FailureDomain {
 		return
 	}
@@ -210,7 +210,7 @@
 
 // Differing returns this table's records of every domain in which it differs
 // from the digest of a peer, and the names of those domains.
-func (t *Table) Differing(digest []DomainDigest) (domains []string, records []Record) {
+func (t *Table) DiffDigest(digest []DomainDigest) (domains []string, records []Record) {
 	theirs := make(map[string]uint64, len(digest))
 	for _, d := range digest {
 		theirs[d.FailureDomain] = d.Sum
@@ -247,7 +247,7 @@
 
 // Newer returns those of this table's records in the domains that beat what a
 // peer sent, so that the peer can be told.
-func (t *Table) Newer(domains []string, sent []Record) []Record {
+func (t *Table) NewerRecords(domains []string, sent []Record) []Record {
 	theirs := make(map[string]*Record, len(sent))
 	for i := range sent {
 		theirs[sent[i].VM.ID] = &sent[i]
--- a/internal/membership/domain_test.go
+++ b/internal/membership/domain_test.go
@@ -15,7 +15,7 @@
 func meeting() (one, two *Table) {
 	one, two = newTestTable(), newTestTable()
 	for _, table := range []*Table{one, two} {
-		table.Heard(began, Record{VM: vmOf("far", "b-1"), Incarnation: 1, State: Live})
+		table.RecordReceived(began, Record{VM: vmOf("far", "b-1"), Incarnation: 1, State: Live})
 	}
 	return one, two
 }
@@ -31,10 +31,10 @@
 		toTwo, toOne := one.Contacts(now), two.Contacts(now)
 		now = now.Add(transit)
 		for _, table := range []*Table{one, two} {
-			table.Contact(now, vmOf("mate", "a-1"))
+			table.ContactMade(now, vmOf("mate", "a-1"))
 		}
-		two.ContactsHeard(now, vmOf("mate", "a-1"), toTwo)
-		one.ContactsHeard(now, vmOf("mate", "a-1"), toOne)
+		two.ContactsReceived(now, vmOf("mate", "a-1"), toTwo)
+		one.ContactsReceived(now, vmOf("mate", "a-1"), toOne)
 		one.Tick(now)
 	}
 	assert.DeepEqual(t, one.View(now).Unreachable, []string{"b-1"})
@@ -45,12 +45,12 @@
 func TestContactsOfMatesCount(t *testing.T) {
 	one, _ := meeting()
 	silent := began.Add(DefaultConfig().domainSilence() + time.Second)
-	one.Contact(silent, vmOf("mate", "a-1"))
+	one.ContactMade(silent, vmOf("mate", "a-1"))
 	fresh := []DomainContact{{FailureDomain: "b-1", AgeMillis: 100}}
-	one.ContactsHeard(silent, vmOf("stranger", "c-1"), fresh)
+	one.ContactsReceived(silent, vmOf("stranger", "c-1"), fresh)
 	one.Tick(silent)
 	assert.DeepEqual(t, one.View(silent).Unreachable, []string{"b-1"})
-	one.ContactsHeard(silent, vmOf("mate", "a-1"), fresh)
+	one.ContactsReceived(silent, vmOf("mate", "a-1"), fresh)
 	one.Tick(silent)
 	assert.Equal(t, len(one.View(silent).Unreachable), 0)
 }
@@ -60,19 +60,19 @@
 func TestVerdictOfHelpers(t *testing.T) {
 	for _, tt := range []struct {
 		desc    string
-		verdict Verdict
+		verdict IndirectProbeResult
 		want    State
 	}{
-		{"a helper reached it", Verdict{Asked: 3, Answered: 1, Reached: true}, Live},
-		{"none of them reached it", Verdict{Asked: 3, Answered: 1}, Suspect},
-		{"no helper answered", Verdict{Asked: 3}, Live},
-		{"there are no helpers", Verdict{}, Suspect},
+		{"a helper reached it", IndirectProbeResult{Asked: 3, Answered: 1, Reached: true}, Live},
+		{"none of them reached it", IndirectProbeResult{Asked: 3, Answered: 1}, Suspect},
+		{"no helper answered", IndirectProbeResult{Asked: 3}, Live},
+		{"there are no helpers", IndirectProbeResult{}, Suspect},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
 			table := newTestTable()
 			probe := Probe{VM: testVM("x"), Record: word("x", 5, 0, Live)}
-			table.Heard(began, probe.Record)
-			table.Judged(began, probe, tt.verdict)
+			table.RecordReceived(began, probe.Record)
+			table.IndirectProbeDone(began, probe, tt.verdict)
 			assert.Equal(t, table.View(began).Records[1].State, tt.want)
 		})
 	}
@@ -83,11 +83,11 @@
 func TestLateVerdictIsDropped(t *testing.T) {
 	table := newTestTable()
 	probe := Probe{VM: testVM("x"), Record: word("x", 5, 0, Live)}
-	table.Heard(began, word("x", 5, 1, Live))
-	assert.Check(t, !table.Judged(began, probe, Verdict{Asked: 1, Answered: 1}))
+	table.RecordReceived(began, word("x", 5, 1, Live))
+	assert.Check(t, !table.IndirectProbeDone(began, probe, IndirectProbeResult{Asked: 1, Answered: 1}))
 	probe.Record = word("x", 5, 1, Live)
 	table.Resume(began)
-	assert.Check(t, !table.Judged(began, probe, Verdict{Asked: 1, Answered: 1}))
+	assert.Check(t, !table.IndirectProbeDone(began, probe, IndirectProbeResult{Asked: 1, Answered: 1}))
 }
 
 // News that a mate reached another domain comes late. Before the domain counts
@@ -96,7 +96,7 @@
 	one, _ := meeting()
 	tried := 0
 	for now := began; now.Sub(began) <= DefaultConfig().domainSilence(); now = now.Add(time.Second) {
-		one.Contact(now, vmOf("mate", "a-1"))
+		one.ContactMade(now, vmOf("mate", "a-1"))
 		one.credit = -1 // none of the probes that come round anyway
 		for _, probe := range one.Tick(now) {
 			if probe.VM.ID == "far" {
@@ -112,7 +112,7 @@
 func TestEmptyDomainIsForgotten(t *testing.T) {
 	one, _ := meeting()
 	assert.Equal(t, len(one.Contacts(began)), 1)
-	one.Heard(began, Record{VM: vmOf("far", "c-1"), Incarnation: 2, State: Live})
+	one.RecordReceived(began, Record{VM: vmOf("far", "c-1"), Incarnation: 2, State: Live})
 	assert.DeepEqual(t, one.Contacts(began), []DomainContact{{FailureDomain: "c-1"}})
 }
 
@@ -124,20 +124,20 @@
 	now := began
 	tick := func(span time.Duration, list bool) {
 		for end := now.Add(span); now.Before(end); now = now.Add(10 * time.Second) {
-			one.Contact(now, vmOf("mate", "a-1"))
+			one.ContactMade(now, vmOf("mate", "a-1"))
 			one.Tick(now)
 			if list {
-				one.Listed(now, []Record{listed("mate", Live)})
+				one.ListReceived(now, []Record{listed("mate", Live)})
 			}
 		}
 		one.Sweep(now)
 	}
-	one.Listed(now, []Record{{VM: vmOf("far", "b-1"), State: Live}})
+	one.ListReceived(now, []Record{{VM: vmOf("far", "b-1"), State: Live}})
 	whole := one.Digest()
 	tick(time.Hour, false)
 	assert.DeepEqual(t, one.View(now).Unreachable, []string{"b-1"})
 	tick(DefaultConfig().ForgetAfter*3/4, true)
-	one.Contact(now, vmOf("far", "b-1"))
+	one.ContactMade(now, vmOf("far", "b-1"))
 	assert.DeepEqual(t, one.Digest(), whole)
 	tick(DefaultConfig().domainSilence()+DefaultConfig().ForgetAfter*5/4, true)
 	assert.Equal(t, len(one.View(now).Unreachable), 0)
@@ -147,10 +147,10 @@
 // A VM that nobody heard yet moves to another address: the list tells where.
 func TestListMovesUnheardVM(t *testing.T) {
 	table := newTestTable()
-	table.Listed(began, []Record{listed("x", Live), {}})
+	table.ListReceived(began, []Record{listed("x", Live), {}})
 	moved := listed("x", Live)
 	moved.VM.PeerAddress = "elsewhere"
-	table.Listed(began, []Record{moved})
+	table.ListReceived(began, []Record{moved})
 	var probed []string
 	for _, probe := range table.Tick(began) {
 		probed = append(probed, probe.VM.PeerAddress)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -69,14 +69,14 @@
 }
 
 // News is what one gossip round sends, and to whom.
-type News struct {
+type GossipRound struct {
 	To      []VM
 	Records []Record
-	Marks   []Mark
+	Marks   []DepartureMark
 }
 
 // Pending reports whether there is news to send.
-func (t *Table) Pending() bool {
+func (t *Table) GossipPending() bool {
 	if len(t.queue.items) == 0 {
 		return false
 	}
@@ -86,8 +86,8 @@
 
 // Gossip returns the next round: most of its receivers stand in the node's own
 // domain, since bytes between regions are paid for.
-func (t *Table) Gossip(now time.Time) News {
-	news := News{To: t.gossipPeers(gossipFanout)}
+func (t *Table) Gossip(now time.Time) GossipRound {
+	news := GossipRound{To: t.gossipPeers(gossipFanout)}
 	if len(news.To) == 0 {
 		return news
 	}
@@ -97,7 +97,7 @@
 
 // Farewell returns a round of the node's own record to all its neighbours, for
 // a planned stop: one more hop then reaches everyone.
-func (t *Table) Farewell(now time.Time) News {
+func (t *Table) DepartureGossip(now time.Time) GossipRound {
 	near := t.neighbours()
 	to := slices.Clone(near.around)
 	for _, d := range near.domains {
@@ -105,10 +105,10 @@
 			to = append(to, vm)
 		}
 	}
-	return News{To: to, Records: []Record{t.self.record}}
+	return GossipRound{To: to, Records: []Record{t.self.record}}
 }
 
-func (t *Table) fill(now time.Time, news *News) {
+func (t *Table) fill(now time.Time, news *GossipRound) {
 	for _, item := range t.queue.take() {
 		m, ok := t.members[item.id]
 		if !ok || !m.heard() {
@@ -119,7 +119,7 @@
 			continue
 		}
 		if left := m.markedUntil.Sub(now); m.isMarked && left > 0 {
-			news.Marks = append(news.Marks, Mark{ID: item.id, Incarnation: m.marked, LeftMillis: uint32(left.Milliseconds())})
+			news.Marks = append(news.Marks, DepartureMark{ID: item.id, Incarnation: m.marked, RemainingMillis: uint32(left.Milliseconds())})
 		}
 	}
 }
--- a/internal/membership/marks.go
+++ b/internal/membership/marks.go
@@ -5,7 +5,7 @@
 // Listed takes the platform's list. The list lags, so it introduces VMs, which
 // get no work before they were heard, and marks departures; it never says that a
 // VM is alive.
-func (t *Table) Listed(now time.Time, list []Record) {
+func (t *Table) ListReceived(now time.Time, list []Record) {
 	t.listRead = now
 	for _, record := range list {
 		if record.VM.ID == "" {
@@ -52,10 +52,10 @@
 }
 
 // Marked takes marks that peers read from the list.
-func (t *Table) Marked(now time.Time, marks []Mark) {
+func (t *Table) MarksReceived(now time.Time, marks []DepartureMark) {
 	for _, mark := range marks {
 		m, ok := t.members[mark.ID]
-		left := min(time.Duration(mark.LeftMillis)*time.Millisecond, markHold)
+		left := min(time.Duration(mark.RemainingMillis)*time.Millisecond, markHold)
 		if !ok || mark.Incarnation == 0 {
 			continue
 		}
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -40,11 +40,11 @@
 		words := rapid.SliceOfN(anyRecord(), 1, 20).Draw(t, "words")
 		one, two := newTestTable(), newTestTable()
 		for _, record := range words {
-			one.Heard(began, record)
+			one.RecordReceived(began, record)
 		}
 		crossed := append(rapid.Permutation(words).Draw(t, "crossed"), rapid.SliceOf(rapid.SampledFrom(words)).Draw(t, "doubled")...)
 		for _, record := range crossed {
-			two.Heard(began, record)
+			two.RecordReceived(began, record)
 		}
 		assert.DeepEqual(t, one.Digest(), two.Digest())
 		assert.DeepEqual(t, one.View(began), two.View(began))
@@ -64,12 +64,12 @@
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				state := rapid.SampledFrom([]State{Live, Departing}).Draw(t, "listed")
-				table.Listed(now, []Record{listed("x", state), listed("y", Live)})
+				table.ListReceived(now, []Record{listed("x", state), listed("y", Live)})
 			case 1:
 				table.Tick(now)
 			default:
 				record := anyRecord().Draw(t, "word")
-				if table.Heard(now, record) && record.State.departure() > 0 {
+				if table.RecordReceived(now, record) && record.State.departure() > 0 {
 					departed[record.VM.ID] = record.Incarnation
 				}
 			}
@@ -92,15 +92,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := newTestTable(), newTestTable()
 		for _, record := range rapid.SliceOf(anyRecord()).Draw(t, "one") {
-			one.Heard(began, record)
+			one.RecordReceived(began, record)
 		}
 		for _, record := range rapid.SliceOf(anyRecord()).Draw(t, "two") {
-			two.Heard(began, record)
+			two.RecordReceived(began, record)
 		}
-		domains, records := two.Differing(one.Digest())
-		back := one.Newer(domains, records)
-		one.Synced(began, records)
-		two.Synced(began, back)
+		domains, records := two.DiffDigest(one.Digest())
+		back := one.NewerRecords(domains, records)
+		one.SyncReceived(began, records)
+		two.SyncReceived(began, back)
 		assert.DeepEqual(t, one.Digest(), two.Digest())
 	})
 }
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -178,14 +178,14 @@
 // Mark says that the platform's list names one incarnation of a VM as
 // departing. It is a hint with an end, and no part of the record: lists lag and
 // err, and a mark that was no longer repeated must lose its force.
-type Mark struct {
+type DepartureMark struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID          string
 	Incarnation uint64
 	// LeftMillis is how long the mark still holds, in milliseconds. What is
 	// left travels and not a time of day: the VMs' clocks need not agree.
-	LeftMillis uint32
+	RemainingMillis uint32
 }
 
 // DomainContact says how long ago anyone of the sender's failure domain last
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -170,7 +170,7 @@
 // Heard takes a record that gossip or the VM itself brought. It reports whether
 // the record was news, which is then passed on. A record about the node itself
 // that beats its own is refuted.
-func (t *Table) Heard(now time.Time, record Record) bool {
+func (t *Table) RecordReceived(now time.Time, record Record) bool {
 	if !t.merge(now, record) {
 		return false
 	}
@@ -184,7 +184,7 @@
 // so they are not passed on: a fresh node would send the whole fleet around.
 // Departures of VMs that were known are passed on: after a partition the first
 // node that asks across must tell its domain who left meanwhile.
-func (t *Table) Synced(now time.Time, records []Record) {
+func (t *Table) SyncReceived(now time.Time, records []Record) {
 	for _, record := range records {
 		_, known := t.members[record.VM.ID]
 		if t.merge(now, record) && known && record.State.departure() > 0 {
@@ -233,7 +233,7 @@
 		t.lastRaise = now
 		own.Incarnation = claim.Incarnation + 1
 		own.Sequence = 0
-		t.changes = append(t.changes, Change{VM: own.VM, From: own.State, To: own.State, Raised: true})
+		t.changes = append(t.changes, Change{VM: own.VM, From: own.State, To: own.State, IncarnationRaised: true})
 	}
 	t.replace(now, t.self, own)
 	t.queue.push(own)
@@ -251,7 +251,7 @@
 
 // Rebuttal returns the known record of a VM that beats what it said of itself,
 // so that it can be told and refute it.
-func (t *Table) Rebuttal(said Record) (Record, bool) {
+func (t *Table) NewerRecord(said Record) (Record, bool) {
 	m, ok := t.members[said.VM.ID]
 	if !ok || m == t.self || !m.record.newer(&said) {
 		return Record{}, false
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -39,11 +39,11 @@
 // heartbeat crossed, and the heartbeat, arriving last, brought it back.
 func TestLateWordDoesNotReviveDeparted(t *testing.T) {
 	table := newTestTable()
-	table.Heard(began, word("x", 5, 7, Departing))
-	table.Heard(began, word("x", 5, 9, Live))
-	table.Heard(began, word("x", 5, 9, Suspect))
+	table.RecordReceived(began, word("x", 5, 7, Departing))
+	table.RecordReceived(began, word("x", 5, 9, Live))
+	table.RecordReceived(began, word("x", 5, 9, Suspect))
 	assert.Check(t, !chosen(table, began, "x"))
-	table.Heard(began, word("x", 6, 0, Live))
+	table.RecordReceived(began, word("x", 6, 0, Live))
 	assert.Check(t, chosen(table, began, "x"), "a new start takes work again")
 }
 
@@ -51,12 +51,12 @@
 // the lagging list still named it, and so met it as a VM without a past.
 func TestListDoesNotReviveForgotten(t *testing.T) {
 	table := newTestTable()
-	table.Heard(began, word("x", 5, 7, Departing))
+	table.RecordReceived(began, word("x", 5, 7, Departing))
 	now := began
 	for range 30 {
 		now = now.Add(time.Minute)
 		table.Sweep(now)
-		table.Listed(now, []Record{listed("x", Live)})
+		table.ListReceived(now, []Record{listed("x", Live)})
 		assert.Assert(t, !chosen(table, now, "x"), "after %s", now.Sub(began))
 	}
 	table.Sweep(now.Add(11 * time.Minute))
@@ -67,11 +67,11 @@
 // nobody answers, or somebody else does. Only a VM that spoke takes work.
 func TestListedVMTakesNoWorkUnheard(t *testing.T) {
 	table := newTestTable()
-	table.Listed(began, []Record{listed("x", Live)})
+	table.ListReceived(began, []Record{listed("x", Live)})
 	assert.Check(t, !chosen(table, began, "x"))
-	table.Heard(began, word("x", 5, 0, Live))
+	table.RecordReceived(began, word("x", 5, 0, Live))
 	assert.Check(t, chosen(table, began, "x"))
-	table.Listed(began, nil)
+	table.ListReceived(began, nil)
 	assert.Check(t, chosen(table, began, "x"), "a VM missing on the list goes on")
 }
 
@@ -79,16 +79,16 @@
 // while the list says so; the mistake must not outlive its correction.
 func TestListedDepartureEndsWithTheList(t *testing.T) {
 	table := newTestTable()
-	table.Heard(began, word("x", 5, 0, Live))
+	table.RecordReceived(began, word("x", 5, 0, Live))
 	now := began
 	for range 20 {
-		table.Listed(now, []Record{listed("x", Departing)})
+		table.ListReceived(now, []Record{listed("x", Departing)})
 		assert.Assert(t, !chosen(table, now, "x"))
 		now = now.Add(10 * time.Second)
 		table.Tick(now)
 	}
 	now = now.Add(markHold)
-	table.Listed(now, []Record{listed("x", Live)})
+	table.ListReceived(now, []Record{listed("x", Live)})
 	table.Tick(now)
 	assert.Check(t, chosen(table, now, "x"))
 }
@@ -97,13 +97,13 @@
 // still shows the departure of the process before.
 func TestListedDepartureIsOfOneIncarnation(t *testing.T) {
 	table := newTestTable()
-	table.Heard(began, word("x", 5, 0, Live))
-	table.Listed(began, []Record{listed("x", Departing)})
-	table.Heard(began, word("x", 6, 0, Live))
+	table.RecordReceived(began, word("x", 5, 0, Live))
+	table.ListReceived(began, []Record{listed("x", Departing)})
+	table.RecordReceived(began, word("x", 6, 0, Live))
 	assert.Check(t, chosen(table, began, "x"))
 	late := began.Add(2 * markHold)
 	table.Tick(late)
-	table.Listed(late, []Record{listed("x", Departing)})
+	table.ListReceived(late, []Record{listed("x", Departing)})
 	assert.Check(t, chosen(table, late, "x"), "an expired mark comes back as the same one")
 }
 
@@ -111,16 +111,16 @@
 // heard first is the one meant.
 func TestListedDepartureBeforeHeard(t *testing.T) {
 	table := newTestTable()
-	table.Listed(began, []Record{listed("x", Departing)})
-	table.Heard(began, word("x", 5, 0, Live))
+	table.ListReceived(began, []Record{listed("x", Departing)})
+	table.RecordReceived(began, word("x", 5, 0, Live))
 	assert.Check(t, !chosen(table, began, "x"))
 }
 
 // Marks that peers read from the list count here too, and end without them.
 func TestMarkOfPeerHoldsForATime(t *testing.T) {
 	table := newTestTable()
-	table.Heard(began, word("x", 5, 0, Live))
-	table.Marked(began, []Mark{{ID: "x", Incarnation: 5, LeftMillis: 1 << 31}})
+	table.RecordReceived(began, word("x", 5, 0, Live))
+	table.MarksReceived(began, []DepartureMark{{ID: "x", Incarnation: 5, RemainingMillis: 1 << 31}})
 	assert.Check(t, !chosen(table, began, "x"))
 	table.Tick(began.Add(markHold))
 	assert.Check(t, chosen(table, began.Add(markHold), "x"), "a mark can't be made to hold longer")
@@ -131,15 +131,15 @@
 // the higher incarnation and raise its own.
 func TestClockSteppedBackAtRestart(t *testing.T) {
 	peers := newTestTable()
-	peers.Heard(began, word("x", 9, 3, Departing))
+	peers.RecordReceived(began, word("x", 9, 3, Departing))
 	restarted := NewTable(DefaultConfig(), word("x", 4, 0, Live), began, rand.New(rand.NewPCG(1, 1)))
-	peers.Heard(began, restarted.Self())
+	peers.RecordReceived(began, restarted.Self())
 	assert.Check(t, !chosen(peers, began, "x"))
 
-	known, ok := peers.Rebuttal(restarted.Self())
+	known, ok := peers.NewerRecord(restarted.Self())
 	assert.Check(t, ok)
-	restarted.Heard(began, known)
-	peers.Heard(began, restarted.Self())
+	restarted.RecordReceived(began, known)
+	peers.RecordReceived(began, restarted.Self())
 	assert.Check(t, chosen(peers, began, "x"))
 }
 
@@ -160,12 +160,12 @@
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
 			table, peer := newTestTable(), NewTable(DefaultConfig(), word("peer", 1, 0, Live), began, rand.New(rand.NewPCG(1, 1)))
-			peer.Heard(began, tt.claim)
-			table.Heard(began, tt.claim)
+			peer.RecordReceived(began, tt.claim)
+			table.RecordReceived(began, tt.claim)
 			assert.Equal(t, table.Self().State, Live)
-			peer.Heard(began, table.Self())
+			peer.RecordReceived(began, table.Self())
 			assert.Check(t, chosen(peer, began, "self"))
-			assert.Check(t, table.Pending() || len(table.queue.items) > 0, "the refutation is passed on")
+			assert.Check(t, table.GossipPending() || len(table.queue.items) > 0, "the refutation is passed on")
 		})
 	}
 }
@@ -187,7 +187,7 @@
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
 			table := newTestTable()
-			assert.Check(t, !table.Heard(began, tt.record))
+			assert.Check(t, !table.RecordReceived(began, tt.record))
 			assert.Equal(t, len(table.View(began).Records), 1)
 		})
 	}
@@ -201,7 +201,7 @@
 	for _, order := range [][]Record{{word("x", 5, 0, Live), successor}, {successor, word("x", 5, 0, Live)}} {
 		table := newTestTable()
 		for _, record := range order {
-			table.Heard(began, record)
+			table.RecordReceived(began, record)
 		}
 		assert.Check(t, !chosen(table, began, "x"))
 		assert.Check(t, chosen(table, began, "y"))
@@ -214,11 +214,11 @@
 func TestLastGoodSetIsKept(t *testing.T) {
 	table := newTestTable()
 	table.Depart(began, Departing)
-	table.Heard(began, word("x", 5, 0, Live))
-	table.Heard(began, word("y", 5, 0, Suspect))
-	table.Heard(began, word("z", 5, 0, Departing))
+	table.RecordReceived(began, word("x", 5, 0, Live))
+	table.RecordReceived(began, word("y", 5, 0, Suspect))
+	table.RecordReceived(began, word("z", 5, 0, Departing))
 	assert.Check(t, chosen(table, began, "x") && !chosen(table, began, "y"))
-	table.Heard(began, word("x", 5, 0, Suspect))
+	table.RecordReceived(began, word("x", 5, 0, Suspect))
 	assert.Check(t, chosen(table, began, "x") && chosen(table, began, "y") && !chosen(table, began, "z"))
 }
 
@@ -230,11 +230,11 @@
 	raised := 0
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		one.Heard(now, two.Self())
-		two.Heard(now, one.Self())
+		one.RecordReceived(now, two.Self())
+		two.RecordReceived(now, one.Self())
 	}
 	for _, change := range append(one.TakeChanges(), two.TakeChanges()...) {
-		if change.Raised {
+		if change.IncarnationRaised {
 			raised++
 		}
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -15,7 +15,7 @@
 	// Records are those of all VMs that were heard, sorted by VM id.
 	Records []Record
 	// Unheard counts VMs that only the platform's list has named.
-	Unheard int
+	Unconfirmed int
 	// Unreachable are the failure domains that this one has no contact with.
 	Unreachable []string
 	// Isolated is set while the node hears nobody and keeps its last good set.
@@ -43,7 +43,7 @@
 	silent := map[string][]VM{}
 	for _, m := range t.ordered {
 		if !m.heard() {
-			view.Unheard++
+			view.Unconfirmed++
 			continue
 		}
 		view.Records = append(view.Records, m.record)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -37,7 +37,7 @@
 func (n *Node) armWake(wake *time.Timer) {
 	now := n.ports.Clock.Now()
 	wait := n.config.Heartbeat
-	if at := n.state.Wake(now); !at.IsZero() {
+	if at := n.state.NextTick(now); !at.IsZero() {
 		wait = min(wait, max(at.Sub(now), leastWake))
 	}
 	wake.Reset(wait)
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -18,7 +18,7 @@
 
 // armGossip sets the timer of the next round when there is news to send.
 func (n *Node) armGossip() {
-	if n.gossipArmed || !n.table.Pending() {
+	if n.gossipArmed || !n.table.GossipPending() {
 		return
 	}
 	n.gossipArmed = true
@@ -33,7 +33,7 @@
 
 // send sends news to its receivers without waiting. What is lost is mended by
 // the rounds of others and by anti-entropy.
-func (n *Node) send(ctx context.Context, news membership.News) {
+func (n *Node) send(ctx context.Context, news membership.GossipRound) {
 	if len(news.Records)+len(news.Marks) == 0 {
 		return
 	}
@@ -71,16 +71,16 @@
 
 func (n *Node) takeNews(now time.Time, news port.Gossip) {
 	for _, record := range news.Records {
-		n.table.Heard(now, record)
+		n.table.RecordReceived(now, record)
 	}
-	n.table.Marked(now, news.Marks)
+	n.table.MarksReceived(now, news.Marks)
 }
 
 // syncReply lets the control loop, which owns the table, make the answer.
 func (n *Node) syncReply(ctx context.Context, request port.SyncRequest) (port.Message, error) {
 	made := make(chan port.SyncReply, 1)
 	n.post(ctx, func(context.Context, time.Time) {
-		domains, records := n.table.Differing(request.Digest)
+		domains, records := n.table.DiffDigest(request.Digest)
 		made <- port.SyncReply{From: n.config.Self.ID, Domains: domains, Records: records}
 	})
 	select {
@@ -102,7 +102,7 @@
 				n.table.SyncFailed()
 				return
 			}
-			n.table.Synced(now, reply.Records)
+			n.table.SyncReceived(now, reply.Records)
 			n.trust()
 			n.tellBack(ctx, vm, reply)
 		})
@@ -112,10 +112,10 @@
 // tellBack sends a peer what this node knows better, in messages of bounded
 // size.
 func (n *Node) tellBack(ctx context.Context, vm membership.VM, reply port.SyncReply) {
-	newer := n.table.Newer(reply.Domains, reply.Records)
+	newer := n.table.NewerRecords(reply.Domains, reply.Records)
 	for len(newer) > 0 {
 		count := min(len(newer), maxToldBack)
-		n.send(ctx, membership.News{To: []membership.VM{vm}, Records: newer[:count]})
+		n.send(ctx, membership.GossipRound{To: []membership.VM{vm}, Records: newer[:count]})
 		newer = newer[count:]
 	}
 }
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -66,7 +66,7 @@
 	var probes []membership.Probe
 	for _, address := range n.config.Seeds {
 		if address != n.config.Self.PeerAddress {
-			probes = append(probes, membership.Probe{VM: membership.VM{PeerAddress: address}, Across: true})
+			probes = append(probes, membership.Probe{VM: membership.VM{PeerAddress: address}, CrossDomain: true})
 		}
 	}
 	return probes
@@ -109,14 +109,14 @@
 	for _, helper := range helpers {
 		n.background.Go(func() { answers <- n.askHelper(ctx, helper, probe.VM) })
 	}
-	verdict := membership.Verdict{Asked: len(helpers)}
+	verdict := membership.IndirectProbeResult{Asked: len(helpers)}
 	for range helpers {
 		if reply := <-answers; reply != nil {
 			verdict.Answered++
 			verdict.Reached = verdict.Reached || reply.Reached
 		}
 	}
-	n.post(ctx, func(_ context.Context, now time.Time) { n.table.Judged(now, probe, verdict) })
+	n.post(ctx, func(_ context.Context, now time.Time) { n.table.IndirectProbeDone(now, probe, verdict) })
 }
 
 // askHelper returns nil when the helper itself gave no answer.
@@ -139,9 +139,9 @@
 	arrived := n.ports.Clock.Now()
 	n.post(ctx, func(ctx context.Context, now time.Time) {
 		n.meet(ctx, now, beat.From)
-		n.table.ContactsHeard(arrived, beat.From.VM, beat.Contacts)
+		n.table.ContactsReceived(arrived, beat.From.VM, beat.Contacts)
 		for _, record := range beat.Others {
-			n.table.Heard(now, record)
+			n.table.RecordReceived(now, record)
 		}
 		n.perform(ctx, n.state.VersionReported(now, n.claimOf(beat)))
 	})
@@ -150,12 +150,12 @@
 // meet takes the record of a VM that spoke for itself. If peers hold a later
 // word about it, it is told, so that it can refute what is wrong.
 func (n *Node) meet(ctx context.Context, now time.Time, from membership.Record) {
-	n.table.Heard(now, from)
-	returned := n.table.Contact(now, from.VM)
-	if known, ok := n.table.Rebuttal(from); ok {
-		n.send(ctx, membership.News{To: []membership.VM{from.VM}, Records: []membership.Record{known}})
+	n.table.RecordReceived(now, from)
+	returned := n.table.ContactMade(now, from.VM)
+	if known, ok := n.table.NewerRecord(from); ok {
+		n.send(ctx, membership.GossipRound{To: []membership.VM{from.VM}, Records: []membership.Record{known}})
 	}
-	if from.VM.ID != n.config.Self.ID && (n.table.FirstSync(now) || returned) {
+	if from.VM.ID != n.config.Self.ID && (n.table.InitialSyncDue(now) || returned) {
 		n.startSync(ctx, from.VM)
 	}
 }
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -18,7 +18,7 @@
 // waits a random time, and later ones half to one and a half times the
 // interval: nodes that started together would else read together.
 func (n *Node) watchList(ctx context.Context) {
-	wait.Sleep(ctx, n.randomly(n.config.Pace.StartAfter))
+	wait.Sleep(ctx, n.randomly(n.config.Pace.StartDelay))
 	failures := 0
 	for ctx.Err() == nil {
 		list, err := n.ports.Platform.VMs(ctx)
@@ -39,7 +39,7 @@
 // a fresh node may serve, depend on who is there: both are found anew, without
 // the pause between views, before the first read of a manifest.
 func (n *Node) takeList(now time.Time, list []membership.Record) {
-	n.table.Listed(now, list)
+	n.table.ListReceived(now, list)
 	n.viewBuilt = time.Time{}
 	n.publish(now)
 	n.updateRank()
--- a/internal/node/measure_test.go
+++ b/internal/node/measure_test.go
@@ -318,7 +318,7 @@
 		for _, readers := range []int{1, 2} {
 			for _, patience := range []time.Duration{0, 250 * time.Millisecond, time.Second, 4 * time.Second} {
 				f := measureOurs(t, coOperative, 48, func(m *mesh) {
-					m.config.Patience, m.pace.Readers = patience, readers
+					m.config.CrossRegionDelay, m.pace.Readers = patience, readers
 					m.loseAnnounces(lost)
 				})
 				t.Logf("| %.0f %% | %d | %v | %v | %v | %v | %.0f | %.0f |", 100*lost, readers, patience,
--- a/internal/node/membercost_test.go
+++ b/internal/node/membercost_test.go
@@ -196,7 +196,7 @@
 			for b.Loop() {
 				now := time.Now()
 				n.meet(b.Context(), now, beat.From)
-				n.table.ContactsHeard(now, beat.From.VM, beat.Contacts)
+				n.table.ContactsReceived(now, beat.From.VM, beat.Contacts)
 				n.publish(now)
 			}
 		})
@@ -215,7 +215,7 @@
 				record.Sequence++
 				now := time.Now()
 				n.viewBuilt = time.Time{}
-				n.table.Heard(now, record)
+				n.table.RecordReceived(now, record)
 				n.publish(now)
 			}
 		})
@@ -244,7 +244,7 @@
 	m := &mesh{network: memnet.New(), platform: memnet.NewPlatform()}
 	mn := m.unstarted(meshVM(0, 13))
 	for i := range size {
-		mn.table.Heard(time.Now(), benchRecord(i))
+		mn.table.RecordReceived(time.Now(), benchRecord(i))
 	}
 	return mn
 }
--- a/internal/node/mesh_test.go
+++ b/internal/node/mesh_test.go
@@ -34,7 +34,7 @@
 	root     snapshot.Hash
 	// config is what nodes that start from now on get.
 	config distribution.Config
-	pace   distribution.Pace
+	pace   distribution.ReadPacing
 	// calls ends the calls of a measurement when it is closed; nil without.
 	calls chan struct{}
 }
@@ -113,7 +113,7 @@
 // emptyMesh is a mesh whose nodes have not started.
 func emptyMesh(t *testing.T, count, domains int) *mesh {
 	m := &mesh{t: t, network: memnet.New(), platform: memnet.NewPlatform(),
-		config: distribution.DefaultConfig(), pace: distribution.DefaultPace()}
+		config: distribution.DefaultConfig(), pace: distribution.DefaultReadPacing()}
 	var list []membership.Record
 	for i := range count {
 		list = append(list, membership.Record{VM: meshVM(i, domains), State: membership.Live})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,7 +35,7 @@
 	Heartbeat    time.Duration
 	ListInterval time.Duration
 	// Pace bounds the reads of the platform.
-	Pace         distribution.Pace
+	Pace         distribution.ReadPacing
 	Distribution distribution.Config
 	Membership   membership.Config
 	// QueuePerSlot bounds the requests that wait at the local target.
@@ -249,7 +249,7 @@
 func (n *Node) publish(now time.Time) {
 	n.publishView(now)
 	view := n.view.Load()
-	n.state.SetPlace(len(view.Peers)+view.Unheard, int(n.rank.Load()))
+	n.state.SetPeers(len(view.Peers)+view.Unconfirmed, int(n.rank.Load()))
 	n.ready.Store(n.state.Ready(now) && !n.distrusts(now))
 	n.status.Store(n.newStatus(now, view))
 	if n.gossip != nil {
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -52,7 +52,7 @@
 // for the only reader: 1,600 of them would read every part.
 func (n *Node) settled() bool {
 	view := n.view.Load()
-	if settledShare*view.Unheard <= len(view.Peers)+1 {
+	if settledShare*view.Unconfirmed <= len(view.Peers)+1 {
 		return true
 	}
 	return n.ports.Clock.Now().Sub(n.started) > settleHold+n.config.Pace.StartSpread
@@ -68,14 +68,14 @@
 // probeAfter is the pause between two reads of a node that is no reader.
 func (n *Node) probeAfter() time.Duration {
 	live := len(liveVMs(n.view.Load()))
-	return n.randomly(func(r *rand.Rand) time.Duration { return n.config.Pace.ProbeAfter(r, live) })
+	return n.randomly(func(r *rand.Rand) time.Duration { return n.config.Pace.ProbeDelay(r, live) })
 }
 
 func (n *Node) listWasTried() { n.listTriedBy.Do(func() { close(n.listTried) }) }
 
 func (n *Node) retryAfter(failures int) time.Duration {
 	return n.randomly(func(r *rand.Rand) time.Duration {
-		return distribution.RetryAfter(r, readRetry, readRetryMax, failures)
+		return distribution.Backoff(r, readRetry, readRetryMax, failures)
 	})
 }
 
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -81,7 +81,7 @@
 // by another path or by the next heartbeats.
 func (n *Node) announce(ctx context.Context, e distribution.Announce) {
 	message := port.Announce{From: n.config.Self.ID, Version: e.Version, Root: e.Root}
-	audience := distribution.Audience(n.config.Distribution, n.config.Self, liveVMs(n.view.Load()), e.Root, e.Origin)
+	audience := distribution.AnnouncePeers(n.config.Distribution, n.config.Self, liveVMs(n.view.Load()), e.Root, e.Origin)
 	for _, vm := range audience {
 		n.background.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, askTimeout)
@@ -108,7 +108,7 @@
 	n.post(ctx, func(ctx context.Context, now time.Time) {
 		claim := distribution.Claim{
 			From: distribution.Source(m.From), Version: m.Version, Root: m.Root,
-			Distance: distribution.OtherRegion, Told: true,
+			Distance: distribution.OtherRegion, Announced: true,
 		}
 		if vm, ok := n.peer(claim.From); ok {
 			claim.Distance = distribution.DistanceOf(n.config.Self, vm)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -54,8 +54,8 @@
 func (n *Node) newStatus(now time.Time, view *membership.View) *Status {
 	s := &Status{
 		VM: n.config.Self, Started: n.observer.started,
-		Applied: n.state.AppliedVersion(), Reported: n.state.Reported(), Platform: n.observer.platform.state(),
-		Members: view.Records, MemberCount: len(view.Records), Unheard: view.Unheard, Unreachable: view.Unreachable, Isolated: view.Isolated,
+		Applied: n.state.AppliedVersion(), Reported: n.state.ReportedVersion(), Platform: n.observer.platform.state(),
+		Members: view.Records, MemberCount: len(view.Records), Unheard: view.Unconfirmed, Unreachable: view.Unreachable, Isolated: view.Isolated,
 	}
 	if applied := n.state.Applied(); applied != nil {
 		s.Root = applied.Root()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -31,7 +31,7 @@
 	n.audit(port.AuditEvent{Kind: port.AuditStopping})
 	n.post(ctx, func(ctx context.Context, now time.Time) {
 		n.table.Depart(now, membership.Departing)
-		n.send(ctx, n.table.Farewell(now))
+		n.send(ctx, n.table.DepartureGossip(now))
 	})
 	wait.Sleep(ctx, n.config.Linger)
 	n.closed.Store(true)
@@ -55,10 +55,10 @@
 func (n *Node) sayGone(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, lastWordTimeout)
 	defer cancel()
-	farewell := make(chan membership.News, 1)
+	farewell := make(chan membership.GossipRound, 1)
 	n.post(ctx, func(_ context.Context, now time.Time) {
 		n.table.Depart(now, membership.Gone)
-		farewell <- n.table.Farewell(now)
+		farewell <- n.table.DepartureGossip(now)
 	})
 	select {
 	case news := <-farewell:
@@ -67,7 +67,7 @@
 	}
 }
 
-func (n *Node) tellAll(ctx context.Context, news membership.News) {
+func (n *Node) tellAll(ctx context.Context, news membership.GossipRound) {
 	message := port.Gossip{From: n.config.Self.ID, Records: news.Records}
 	told := make(chan struct{}, len(news.To))
 	for _, vm := range news.To {
--- a/internal/node/trail.go
+++ b/internal/node/trail.go
@@ -156,7 +156,7 @@
 			// The VM was known from the platform's list alone until now.
 			way = "listed as " + change.To.String() + ", heard now"
 		}
-		if change.Raised {
+		if change.IncarnationRaised {
 			way = raisedDetail
 		}
 		if moved[way] == nil {
--- a/internal/port/member.go
+++ b/internal/port/member.go
@@ -14,9 +14,9 @@
 
 // Gossip passes membership news on. It wants no answer.
 type Gossip struct {
-	From    string              `cbor:"f"`
-	Records []membership.Record `cbor:"r,omitempty"`
-	Marks   []membership.Mark   `cbor:"m,omitempty"`
+	From    string                     `cbor:"f"`
+	Records []membership.Record        `cbor:"r,omitempty"`
+	Marks   []membership.DepartureMark `cbor:"m,omitempty"`
 }
 
 // ProbeRequest asks the receiver to try a VM that gave the sender no answer.
