--- a/internal/distribution/bench_test.go
+++ b/internal/distribution/bench_test.go
@@ -11,8 +11,9 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// designSet has 300 services and that many contracts, each with 4 routes.
-func designSet(contracts, change int) *contract.Set {
+// benchSet returns a set of 300 services and the given number of contracts, each
+// with 4 routes. change selects the contract whose deadline differs.
+func benchSet(contracts, change int) *contract.Set {
 	set := &contract.Set{}
 	for i := range 300 {
 		set.Services = append(set.Services, contract.Service{Name: fmt.Sprintf("service-%d", i), Slots: 12,
@@ -37,19 +38,20 @@
 	return set
 }
 
-func designPublication(tb testing.TB, contracts, change int) *snapshot.Publication {
+func benchPublication(tb testing.TB, contracts, change int) *snapshot.Publication {
 	tb.Helper()
-	publication, err := snapshot.Build(designSet(contracts, change), snapshot.Origin{Version: snapshot.Version{Epoch: 1, Revision: uint64(change)}})
+	publication, err := snapshot.Build(benchSet(contracts, change), snapshot.Origin{Version: snapshot.Version{Epoch: 1, Revision: uint64(change)}})
 	assert.NilError(tb, err)
 	return publication
 }
 
-// BenchmarkApplyChange is what one change costs a node: select, check the whole
-// version, swap. B/op bounds the memory that it takes for a moment.
+// BenchmarkApplyChange measures the cost of one change on a node: select the
+// parts, validate the complete version, replace the snapshot. B/op is an upper
+// bound of the memory used temporarily.
 func BenchmarkApplyChange(b *testing.B) {
 	for _, contracts := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("contracts-%d", contracts), func(b *testing.B) {
-			first, second := designPublication(b, contracts, 1), designPublication(b, contracts, 2)
+			first, second := benchPublication(b, contracts, 1), benchPublication(b, contracts, 2)
 			size := 0
 			for _, raw := range first.Parts {
 				size += len(raw)
@@ -58,20 +60,21 @@
 			for b.Loop() {
 				b.StopTimer()
 				s := newState()
-				feed(s, start, first)
+				deliver(s, start, first)
 				b.StartTimer()
-				if count[Apply](feed(s, start, second)) != 1 {
+				if count[Apply](deliver(s, start, second)) != 1 {
 					b.Fatal("not applied")
 				}
 			}
 			b.ReportMetric(float64(size), "part-bytes")
-			b.ReportMetric(heapOf(first), "state-bytes")
+			b.ReportMetric(stateHeap(first), "state-bytes")
 		})
 	}
 }
 
-// heapOf is what the state of one node with the version in force keeps.
-func heapOf(publication *snapshot.Publication) float64 {
+// stateHeap returns the heap bytes held by the state of one node with the
+// version applied.
+func stateHeap(publication *snapshot.Publication) float64 {
 	var before, after runtime.MemStats
 	const copies = 8
 	runtime.GC()
@@ -79,7 +82,7 @@
 	states := make([]*State, copies)
 	for i := range states {
 		states[i] = newState()
-		feed(states[i], start, publication)
+		deliver(states[i], start, publication)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -87,7 +90,7 @@
 	return float64(after.HeapAlloc-before.HeapAlloc) / copies
 }
 
-// BenchmarkAudience is what a node spends on choosing whom to tell.
+// BenchmarkAudience measures the selection of the peers for an announcement.
 func BenchmarkAudience(b *testing.B) {
 	for _, nodes := range []int{120, 240, 1600} {
 		vms := fleetVMs(nodes, 13, 4)
@@ -100,7 +103,7 @@
 	}
 }
 
-// BenchmarkReaderRank is what a node spends on it each tick.
+// BenchmarkReaderRank measures the rank computation that a node runs each tick.
 func BenchmarkReaderRank(b *testing.B) {
 	for _, nodes := range []int{120, 240, 1600} {
 		vms := fleetVMs(nodes, 13, 4)
@@ -113,21 +116,22 @@
 	}
 }
 
-// maxApplyAllocs lies half above what was measured.
+// maxApplyAllocs is the allocation limit of applying one change; it leaves a
+// margin of one half.
 const maxApplyAllocs = 21_000
 
-// One change of one contract among 100 makes a bounded number of allocations; a
-// change that is decoded or checked more than once shows here.
+// Guards against a change that is decoded or validated more than once: applying
+// one change of one contract among 100 makes a bounded number of allocations.
 func TestApplyAllocatesABoundedAmount(t *testing.T) {
 	const runs = 3
-	first, second := designPublication(t, 100, 1), designPublication(t, 100, 2)
+	first, second := benchPublication(t, 100, 1), benchPublication(t, 100, 2)
 	var states []*State
 	for range runs + 1 {
 		states = append(states, newState())
-		feed(states[len(states)-1], start, first)
+		deliver(states[len(states)-1], start, first)
 	}
 	allocs := testing.AllocsPerRun(runs, func() {
-		feed(states[0], start, second)
+		deliver(states[0], start, second)
 		states = states[1:]
 	})
 	t.Logf("%.0f allocations", allocs)
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -1,11 +1,12 @@
-// Package distribution decides how one node learns, checks, applies and hands
-// on configuration versions. It is pure: each method takes the time and what
-// happened, and returns the effects that the node's control loop carries out.
-// Random numbers come from the source that New is given.
+// Package distribution decides how one node discovers, validates, applies and
+// announces configuration versions. It does no I/O: each method takes the
+// current time and an event, and returns the effects for the node's control
+// loop to execute. Random numbers come from the generator passed to New.
 //
-// A version moves through a node in these steps: a claim (a peer or the
-// platform has it), its manifest, its parts (staged, never in force in part),
-// one check of the whole, and then Apply or Refuse.
+// A version passes through a node in these steps: a claim (a peer or the
+// platform has it), its manifest, its parts (staged, never applied
+// partially), one validation of the complete version, and then Apply or
+// Refuse.
 package distribution
 
 import (
@@ -17,39 +18,41 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// Config holds the times and bounds of distribution.
+// Config holds the durations and limits of distribution.
 type Config struct {
-	// Patience is how long a version that was overheard from another region
-	// waits for a nearer source before it is fetched from there. It is the
-	// policy between time (short) and cross-region bytes (long). Announces from
-	// another region, and what was overheard from another failure domain of the
-	// same region, wait a quarter of it.
+	// CrossRegionDelay is how long a node waits for a nearer source before it
+	// fetches a version that a heartbeat from another region reported. A short
+	// delay gives faster updates, a long one less cross-region traffic.
+	// Announcements from another region, and heartbeats from another failure
+	// domain of the same region, wait a quarter of it.
 	CrossRegionDelay time.Duration
-	// Redundancy is how many paths lead a version into each failure domain
-	// and to each node of it, so that one lost announce delays nobody.
+	// Redundancy is the number of announcement paths into each failure domain
+	// and to each node in it, so that the loss of one announcement delays no
+	// node.
 	Redundancy int
-	// Children is how many peers of its failure domain a node tells on each
-	// path.
+	// Children is the number of peers in its failure domain that a node
+	// announces a version to on each path.
 	Children int
-	// FetchRetry is the bound of the pause after a first failure; it doubles
-	// with each further one up to FetchRetryMax.
+	// FetchRetry is the upper bound of the backoff after the first failure. It
+	// doubles with each further failure, up to FetchRetryMax.
 	FetchRetry    time.Duration
 	FetchRetryMax time.Duration
-	// FetchTimeout ends the wait for an answer that never comes.
+	// FetchTimeout is the time after which an unanswered fetch counts as
+	// failed.
 	FetchTimeout time.Duration
-	// BackupWait is about how long a node that is not the first reader of its
-	// region leaves the platform's parts to that reader.
+	// BackupDelay is about how long a node that is not the first reader of its
+	// region waits before it fetches parts from the platform itself.
 	BackupDelay time.Duration
-	// ReadyHold bounds how long a fresh process waits for a version that was
-	// only reported to it, and for reports, so that a false number or a fleet
-	// that is gone can't keep it out for ever.
+	// ReadyTimeout bounds how long a new process waits for reports from peers
+	// and for a version that was only reported. Without it, a false version
+	// number or a fleet that is down would keep the process unready forever.
 	ReadyTimeout time.Duration
-	// ReadyReports is how many peers' versions a fresh process hears before
-	// it trusts that none has a higher one.
+	// ReadyReports is the number of peers that must report their version
+	// before a new process assumes that no peer has a higher one.
 	ReadyReports int
 }
 
-// DefaultConfig suits a fleet of one to a few thousand nodes.
+// DefaultConfig returns a Config for fleets of one to a few thousand nodes.
 func DefaultConfig() Config {
 	return Config{
 		CrossRegionDelay: time.Second, Redundancy: 2, Children: 3,
@@ -58,14 +61,14 @@
 	}
 }
 
-// request is a question that is on its way.
+// request is a fetch that has not been answered yet.
 type request struct {
 	from     Source
 	deadline time.Time
 }
 
 // State is the distribution state of one node. It is not safe for concurrent
-// use; the node's control loop owns it.
+// use; only the node's control loop may call it.
 type State struct {
 	config  Config
 	random  *rand.Rand
@@ -73,59 +76,61 @@
 
 	applied  *snapshot.Snapshot
 	staged   *staging
-	shelf    *staging
+	deferred *staging
 	sources  map[Source]*source
-	asked    *request
+	pending  *request
 	pauseEnd time.Time
 	refused  refusals
 	history  history
 
-	heard map[Source]bool
-	peers int
-	rank  int
+	reporters map[Source]bool
+	peers     int
+	rank      int
 }
 
-// New returns the state of a process that knows no version.
+// New returns the state of a process that has no version yet.
 func New(config Config, now time.Time, random *rand.Rand) *State {
 	return &State{
 		config: config, random: random, started: now,
-		sources: map[Source]*source{}, refused: refusals{}, heard: map[Source]bool{},
+		sources: map[Source]*source{}, refused: refusals{}, reporters: map[Source]bool{},
 	}
 }
 
-// Applied returns the snapshot in force, or nil.
+// Applied returns the applied snapshot, or nil if there is none.
 func (s *State) Applied() *snapshot.Snapshot { return s.applied }
 
-// AppliedVersion returns the version in force, zero when there is none.
-func (s *State) AppliedVersion() snapshot.Version { return s.inForce().version }
+// AppliedVersion returns the applied version, or zero if there is none.
+func (s *State) AppliedVersion() snapshot.Version { return s.appliedContent().version }
 
-func (s *State) inForce() content {
+func (s *State) appliedContent() content {
 	if s.applied == nil {
 		return content{}
 	}
 	return contentOf(s.applied.Manifest())
 }
 
-// Reported returns the highest version that a source claims now, and at least
-// the one in force. Refused versions don't count: nobody will have them.
+// ReportedVersion returns the highest version that any source currently
+// claims, and at least the applied one. Refused versions are left out, because
+// no node will apply them.
 func (s *State) ReportedVersion() snapshot.Version {
-	highest := s.inForce()
-	for _, known := range s.sources {
-		if known.claim.newerThan(highest) && !s.refused.has(known.claim) {
-			highest = known.claim
+	highest := s.appliedContent()
+	for _, src := range s.sources {
+		if src.claim.newerThan(highest) && !s.refused.has(src.claim) {
+			highest = src.claim
 		}
 	}
 	return highest.version
 }
 
-// SetPlace tells the state how many peers are known and how many live VMs of
-// the region come before this one in the order of readers.
+// SetPeers sets the number of known peers and this node's rank, which is the
+// number of live VMs of the region that precede it in the reader order.
 func (s *State) SetPeers(peers, rank int) { s.peers, s.rank = peers, rank }
 
-// Ready reports whether the node may serve. A fresh process must not serve
-// what a stale platform gave it while its peers hold a newer version: callers
-// would see the configuration go back. So it hears a few peers first and has
-// at least what they reported. ReadyHold bounds the wait.
+// Ready reports whether the node may serve requests. A new process must not
+// serve an old version read from a stale platform while its peers hold a newer
+// one, because callers would see the configuration revert. It therefore waits
+// until ReadyReports peers have reported and it has applied at least the
+// highest version they reported. ReadyTimeout bounds the wait.
 func (s *State) Ready(now time.Time) bool {
 	if s.applied == nil {
 		return false
@@ -133,29 +138,31 @@
 	if now.Sub(s.started) >= s.config.ReadyTimeout {
 		return true
 	}
-	return len(s.heard) >= min(s.peers, s.config.ReadyReports) && !s.ReportedVersion().NewerThan(s.AppliedVersion())
+	return len(s.reporters) >= min(s.peers, s.config.ReadyReports) && !s.ReportedVersion().NewerThan(s.AppliedVersion())
 }
 
-// VersionReported takes what a peer claims to have. It starts a pull, now or
-// after Patience, and never bars a version that can really be had.
+// VersionReported processes a peer's claim to hold a version. It fetches a
+// newer version at once or after a delay. A false claim never blocks a version
+// that other sources can provide.
 func (s *State) VersionReported(now time.Time, claim Claim) []Effect {
-	if len(s.heard) < s.config.ReadyReports {
-		s.heard[claim.From] = true
+	if len(s.reporters) < s.config.ReadyReports {
+		s.reporters[claim.From] = true
 	}
 	claimed := content{claim.Version, claim.Root}
-	if !claimed.newerThan(s.inForce()) {
+	if !claimed.newerThan(s.appliedContent()) {
 		delete(s.sources, claim.From)
 		return nil
 	}
-	s.learn(now, claim.From, claimed, claim.Distance, now.Add(s.patience(claim)))
+	s.addClaim(now, claim.From, claimed, claim.Distance, now.Add(s.fetchDelay(claim)))
 	return s.proceed(now)
 }
 
-// patience is how long a claim waits for a cheaper source. An announce from
-// another region waits a little, because the region's own reader is about to
-// have the version too: without that each change crosses twice. A node without
-// any version does not wait: it serves nobody until it has one.
-func (s *State) patience(claim Claim) time.Duration {
+// fetchDelay returns how long to wait for a cheaper source before acting on a
+// claim. Announcements from another region are delayed too, because the
+// region's own reader is about to receive the version: without the delay each
+// change would cross between regions twice. A node without any version does
+// not wait, since it cannot serve requests until it has one.
+func (s *State) fetchDelay(claim Claim) time.Duration {
 	part := s.config.CrossRegionDelay
 	switch {
 	case s.applied == nil, claim.Distance == SameDomain, claim.Announced && claim.Distance == SameRegion:
@@ -163,31 +170,33 @@
 	case claim.Distance == SameRegion, claim.Announced:
 		part /= 4
 	}
-	return around(s.random, part)
+	return jitter(s.random, part)
 }
 
-// learn remembers a claim. The first due time of a claim stands: each further
-// heartbeat would otherwise put it off again. Failures stand as well, so that
-// a peer that keeps claiming what it can't give is asked ever more rarely.
-func (s *State) learn(now time.Time, from Source, claimed content, distance Distance, due time.Time) {
-	known := s.sources[from]
-	if known == nil {
+// addClaim stores a claim. A repeated claim never postpones the due time of
+// its source, otherwise each heartbeat would delay the fetch again. The failure
+// count is kept as well, so that the backoff grows for a peer that repeatedly
+// claims a version it cannot provide.
+func (s *State) addClaim(now time.Time, from Source, claimed content, distance Distance, due time.Time) {
+	src := s.sources[from]
+	if src == nil {
 		if len(s.sources) >= maxSources && !s.evictFor(claimed) {
 			return
 		}
 		s.sources[from] = &source{claim: claimed, distance: distance, due: due, claimedAt: now}
 		return
 	}
-	known.claimedAt = now
-	if due.Before(known.due) {
-		known.due = due
+	src.claimedAt = now
+	if due.Before(src.due) {
+		src.due = due
 	}
-	known.claim = claimed
-	known.distance = distance
+	src.claim = claimed
+	src.distance = distance
 }
 
-// evictFor makes room for a claim by dropping the worst source, unless the
-// claim is not above it.
+// evictFor removes the least preferred source to free an entry for a claim. It
+// reports false if that source has not failed and the claim is not newer than
+// its own.
 func (s *State) evictFor(claimed content) bool {
 	var worst Source
 	var found *source
@@ -203,142 +212,142 @@
 	return true
 }
 
-// ManifestReceived takes a manifest from the platform or a peer. Versions that
-// are not newer than the one in force are dropped, which is what keeps every
-// node from returning to an older version.
+// ManifestReceived processes a manifest from the platform or a peer. Versions
+// that are not newer than the applied one are dropped, so a node never reverts
+// to an older version.
 func (s *State) ManifestReceived(now time.Time, from Source, manifest *snapshot.Manifest) []Effect {
-	s.answered(from)
+	s.clearPending(from)
 	offered := contentOf(manifest)
 	effects := s.conflicts(from, manifest)
-	s.note(now, from, offered)
-	if s.mayStage(offered) {
+	s.updateClaim(now, from, offered)
+	if s.canStage(offered) {
 		s.stage(now, from, manifest)
 	}
 	return append(effects, s.proceed(now)...)
 }
 
-// note compares what the source gave with what it had claimed. A peer that
-// gave less is asked again only after a pause, and so is everyone else for a
-// moment: one false number on many heartbeats would otherwise keep this node
-// pulling without end.
-func (s *State) note(now time.Time, from Source, offered content) {
+// updateClaim replaces a source's claim by the version that it delivered. If a
+// peer delivered an older version than claimed, that peer is backed off, and
+// manifest fetches from all sources pause briefly: otherwise one false version
+// number repeated in many heartbeats would keep this node fetching forever.
+func (s *State) updateClaim(now time.Time, from Source, offered content) {
 	if from == Platform {
-		s.notePlatform(now, offered)
+		s.updatePlatformClaim(now, offered)
 		return
 	}
-	known := s.sources[from]
-	if known == nil {
+	src := s.sources[from]
+	if src == nil {
 		return
 	}
-	if known.claim.newerThan(offered) {
-		s.failed(now, from, 0)
+	if src.claim.newerThan(offered) {
+		s.recordFailure(now, from, 0)
 		s.pauseEnd = now.Add(Backoff(s.random, s.config.FetchRetry, s.config.FetchRetry, 1))
 	}
-	known.claim = offered
+	src.claim = offered
 }
 
-func (s *State) notePlatform(now time.Time, offered content) {
-	if !offered.newerThan(s.inForce()) {
+func (s *State) updatePlatformClaim(now time.Time, offered content) {
+	if !offered.newerThan(s.appliedContent()) {
 		delete(s.sources, Platform)
 		return
 	}
-	if known := s.sources[Platform]; known != nil && known.claim != offered {
-		// Its failures were about another version.
+	if src := s.sources[Platform]; src != nil && src.claim != offered {
+		// The recorded failures concern another version.
 		delete(s.sources, Platform)
 	}
 	due := now
 	if s.rank > 0 {
-		due = now.Add(around(s.random, s.config.BackupDelay))
+		due = now.Add(jitter(s.random, s.config.BackupDelay))
 	}
-	s.learn(now, Platform, offered, FromPlatform, due)
+	s.addClaim(now, Platform, offered, FromPlatform, due)
 }
 
-func (s *State) mayStage(offered content) bool {
-	if !offered.newerThan(s.inForce()) || s.refused.has(offered) {
+func (s *State) canStage(offered content) bool {
+	if !offered.newerThan(s.appliedContent()) || s.refused.has(offered) {
 		return false
 	}
-	if s.shelf != nil && offered == contentOf(s.shelf.manifest) {
+	if s.deferred != nil && offered == contentOf(s.deferred.manifest) {
 		return false
 	}
 	return s.staged == nil || offered.newerThan(contentOf(s.staged.manifest))
 }
 
-// FetchFailed notes that a source did not give what it was asked for; a busy
-// one says when to come back.
+// FetchFailed records that a source did not deliver what was requested. A busy
+// source sets retryAfter, the time to wait before the next request.
 func (s *State) FetchFailed(now time.Time, from Source, retryAfter time.Duration) []Effect {
-	s.answered(from)
-	if s.staged != nil && s.staged.answered(from) {
+	s.clearPending(from)
+	if s.staged != nil && s.staged.clearPending(from) {
 		s.staged.failures++
 	}
-	s.failed(now, from, retryAfter)
-	return append(s.incomplete(from), s.proceed(now)...)
+	s.recordFailure(now, from, retryAfter)
+	return append(s.reportIncomplete(from), s.proceed(now)...)
 }
 
-func (s *State) answered(from Source) {
-	if s.asked != nil && s.asked.from == from {
-		s.asked = nil
+func (s *State) clearPending(from Source) {
+	if s.pending != nil && s.pending.from == from {
+		s.pending = nil
 	}
 }
 
-func (s *State) failed(now time.Time, from Source, retryAfter time.Duration) {
-	known := s.sources[from]
-	if known == nil {
+func (s *State) recordFailure(now time.Time, from Source, retryAfter time.Duration) {
+	src := s.sources[from]
+	if src == nil {
 		return
 	}
-	known.failures++
-	pause := Backoff(s.random, s.config.FetchRetry, s.config.FetchRetryMax, known.failures)
-	known.notBefore = now.Add(retryAfter + pause)
+	src.failures++
+	pause := Backoff(s.random, s.config.FetchRetry, s.config.FetchRetryMax, src.failures)
+	src.notBefore = now.Add(retryAfter + pause)
 }
 
-// Tick does what has become due: retries, claims whose wait is over, and
-// questions that nobody answered.
+// Tick processes timers: retries, claims whose delay is over, and requests
+// that timed out.
 func (s *State) Tick(now time.Time) []Effect {
-	s.dropSilent(now)
-	if s.asked != nil && !now.Before(s.asked.deadline) {
-		from := s.asked.from
-		s.asked = nil
-		s.failed(now, from, 0)
-	}
-	if s.staged != nil && s.staged.asked != nil && !now.Before(s.staged.asked.deadline) {
-		from := s.staged.asked.from
-		s.staged.asked = nil
+	s.dropStaleSources(now)
+	if s.pending != nil && !now.Before(s.pending.deadline) {
+		from := s.pending.from
+		s.pending = nil
+		s.recordFailure(now, from, 0)
+	}
+	if s.staged != nil && s.staged.pending != nil && !now.Before(s.staged.pending.deadline) {
+		from := s.staged.pending.from
+		s.staged.pending = nil
 		s.staged.failures++
-		s.failed(now, from, 0)
+		s.recordFailure(now, from, 0)
 	}
 	return s.proceed(now)
 }
 
-// silentAfter is how long a claim counts that is not made again; peers make it
-// with each heartbeat.
-const silentAfter = time.Minute
+// claimTTL is how long a claim is valid without being repeated. Peers repeat
+// it in each heartbeat.
+const claimTTL = time.Minute
 
-// dropSilent forgets peers that have not claimed anything for long: they are
-// gone, or their claim was false and they have another one now. The platform is
-// kept, since it is asked and does not tell.
-func (s *State) dropSilent(now time.Time) {
-	for from, known := range s.sources {
-		if from != Platform && now.Sub(known.claimedAt) > silentAfter {
+// dropStaleSources removes peers whose claim has expired: they have left, or
+// their claim was false and they now hold another version. The platform is
+// kept, because it is polled and sends no claims.
+func (s *State) dropStaleSources(now time.Time) {
+	for from, src := range s.sources {
+		if from != Platform && now.Sub(src.claimedAt) > claimTTL {
 			delete(s.sources, from)
 		}
 	}
 }
 
-// Wake returns when Tick should be called next, or the zero time when nothing
-// is due. Times up to now are left out: what they allowed has been done, or
-// waits for an answer whose own deadline counts here.
+// NextTick returns when Tick should be called next, or the zero time when no
+// timer is set. Times up to now are skipped: the action they allowed has been
+// taken, or waits for a response whose own deadline is included here.
 func (s *State) NextTick(now time.Time) time.Time {
 	times := []time.Time{s.pauseEnd}
-	if s.asked != nil {
-		times = append(times, s.asked.deadline)
+	if s.pending != nil {
+		times = append(times, s.pending.deadline)
 	}
-	if s.staged != nil && s.staged.asked != nil {
-		times = append(times, s.staged.asked.deadline)
+	if s.staged != nil && s.staged.pending != nil {
+		times = append(times, s.staged.pending.deadline)
 	}
-	if s.shelf != nil {
-		times = append(times, s.shelf.retryAt)
+	if s.deferred != nil {
+		times = append(times, s.deferred.retryAt)
 	}
-	for _, known := range s.sources {
-		times = append(times, known.readyAt())
+	for _, src := range s.sources {
+		times = append(times, src.readyAt())
 	}
 	var wake time.Time
 	for _, t := range times {
@@ -349,60 +358,64 @@
 	return wake
 }
 
-// proceed starts whatever can be started now.
+// proceed starts all actions that are possible now.
 func (s *State) proceed(now time.Time) []Effect {
-	s.takeFromShelf(now)
-	s.shelveIfStuck(now)
-	effects := s.advance(now)
-	return append(effects, s.pull(now)...)
+	s.resumeDeferred(now)
+	s.deferIfStalled(now)
+	effects := s.advanceStaged(now)
+	return append(effects, s.pullManifest(now)...)
 }
 
-// pull asks the best source for its manifest, one question at a time: all
-// peers report a new version within a second, and one answer is enough.
-func (s *State) pull(now time.Time) []Effect {
-	if s.asked != nil || now.Before(s.pauseEnd) {
+// pullManifest requests the manifest from the best source, one request at a
+// time: all peers report a new version within a second, and one response is
+// enough.
+func (s *State) pullManifest(now time.Time) []Effect {
+	if s.pending != nil || now.Before(s.pauseEnd) {
 		return nil
 	}
-	goal := s.inForce()
+	goal := s.appliedContent()
 	if s.staged != nil {
 		goal = contentOf(s.staged.manifest)
 	}
-	from, ok := s.best(now, func(known *source) bool { return known.claim.newerThan(goal) && !s.known(known.claim) })
+	from, ok := s.bestSource(now, func(src *source) bool { return src.claim.newerThan(goal) && !s.manifestKnown(src.claim) })
 	if !ok {
 		return nil
 	}
-	s.asked = &request{from: from, deadline: now.Add(s.config.FetchTimeout)}
+	s.pending = &request{from: from, deadline: now.Add(s.config.FetchTimeout)}
 	return []Effect{FetchManifest{From: from}}
 }
 
-// known reports whether the manifest of a content need not be fetched.
-func (s *State) known(c content) bool {
-	return s.refused.has(c) || s.shelf != nil && contentOf(s.shelf.manifest) == c
+// manifestKnown reports whether the manifest of c was already received, because
+// c was refused or is deferred, and need not be fetched again.
+func (s *State) manifestKnown(c content) bool {
+	return s.refused.has(c) || s.deferred != nil && contentOf(s.deferred.manifest) == c
 }
 
-// best picks the best source that fits and may be asked now. Among equals it
-// picks at random, so that the nodes of a domain don't all ask the same one.
-func (s *State) best(now time.Time, fits func(*source) bool) (Source, bool) {
+// bestSource returns the most preferred source that satisfies fits and is not
+// delayed or backed off. It chooses at random among equal sources, so that the
+// nodes of a domain do not all fetch from the same one.
+func (s *State) bestSource(now time.Time, fits func(*source) bool) (Source, bool) {
 	var from Source
 	var found *source
 	equals := 0
 	for _, candidate := range s.sortedSources() {
-		known := s.sources[candidate]
-		if now.Before(known.readyAt()) || !fits(known) {
+		src := s.sources[candidate]
+		if now.Before(src.readyAt()) || !fits(src) {
 			continue
 		}
 		switch {
-		case found == nil || known.better(found):
-			from, found, equals = candidate, known, 1
-		case !found.better(known):
+		case found == nil || src.better(found):
+			from, found, equals = candidate, src, 1
+		case !found.better(src):
 			equals++
 			if s.random.IntN(equals) == 0 {
-				from, found = candidate, known
+				from, found = candidate, src
 			}
 		}
 	}
 	return from, found != nil
 }
 
-// sortedSources gives an order that does not change from run to run.
+// sortedSources returns the sources in a deterministic order, so that a run
+// with the same random seed gives the same result.
 func (s *State) sortedSources() []Source { return slices.Sorted(maps.Keys(s.sources)) }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -23,8 +23,9 @@
 	return publication
 }
 
-// feed gives a node a publication from the platform until it wants no more.
-func feed(s *State, now time.Time, publication *snapshot.Publication) []Effect {
+// deliver gives a node a publication from the platform and answers its requests
+// for parts until it makes no more.
+func deliver(s *State, now time.Time, publication *snapshot.Publication) []Effect {
 	all := s.ManifestReceived(now, Platform, publication.Manifest)
 	for done := 0; done < len(all); done++ {
 		if fetch, ok := all[done].(FetchParts); ok {
@@ -52,13 +53,14 @@
 	return Claim{From: Source(fmt.Sprintf("vm-%d", i)), Version: version, Distance: distance}
 }
 
-// One peer reports a version that does not exist, with each heartbeat for ten
-// minutes. The node would pull its manifest 600 times; it may ask a few times
-// and must still take the next good version at once.
+// Guards against endless fetches caused by a false version number. A peer
+// reports a version that does not exist in every heartbeat for ten minutes. The
+// node must fetch the manifest only a few times, not 600 times, and must still
+// apply the next valid version at once.
 func TestFalseVersionCausesNoEndlessPulls(t *testing.T) {
 	s := newState()
 	good := build(t, 1, 1, snapshot.Hash{}, "tally")
-	feed(s, start, good)
+	deliver(s, start, good)
 	pulls := 0
 	now := start
 	for range 600 {
@@ -71,11 +73,11 @@
 		}
 	}
 	assert.Assert(t, pulls <= 60, "%d pulls", pulls)
-	assert.Equal(t, count[Apply](feed(s, now, build(t, 2, 2, snapshot.Hash{}, "tally"))), 1)
+	assert.Equal(t, count[Apply](deliver(s, now, build(t, 2, 2, snapshot.Hash{}, "tally"))), 1)
 }
 
-// All peers of a domain report the same news within a moment. One question is
-// enough; a hundred would cost a hundred manifests.
+// Guards against one manifest fetch per report: all peers of a domain report the
+// same version at nearly the same time, and one fetch is enough.
 func TestManyReportsStartOnePull(t *testing.T) {
 	s := newState()
 	var effects []Effect
@@ -86,8 +88,8 @@
 	assert.Equal(t, len(s.sources), maxSources)
 }
 
-// The manifest that a node asked for never comes, and no error either. The node
-// must ask someone else, or it would stay on its version for good.
+// Guards against a node that keeps its old version because a requested manifest
+// neither arrives nor fails. After the timeout it must ask another source.
 func TestLostManifestIsAskedForElsewhere(t *testing.T) {
 	s := newState()
 	version := snapshot.Version{Epoch: 1, Revision: 2}
@@ -99,7 +101,8 @@
 	assert.DeepEqual(t, s.Tick(timeout), []Effect{FetchManifest{From: "vm-2"}})
 }
 
-// The same with parts: the source falls silent in the middle of a pull.
+// Guards against a fetch that stops because a source no longer answers requests
+// for parts. After the timeout the node must ask another source.
 func TestLostPartsAreAskedForElsewhere(t *testing.T) {
 	s := newState()
 	publication := build(t, 1, 1, snapshot.Hash{}, "tally")
@@ -114,20 +117,21 @@
 	assert.Assert(t, again[0].(FetchParts).From != asked.From)
 }
 
-// News overheard from another region waits for a nearer source: a node that
-// pulled at once would move the same bytes over the paid link that its own
-// domain is about to give it. An announce from another region waits less, for
-// the region's own reader, and one from the region not at all.
-func TestOverheardNewsFromAnotherRegionWaits(t *testing.T) {
+// Guards against unnecessary cross-region traffic. A version reported by a
+// heartbeat from another region must wait for a nearer source, since the node's
+// own domain is about to provide the same bytes without the cost of the
+// cross-region link. An announcement from another region waits a shorter time,
+// for the region's own reader; one from the same region does not wait.
+func TestReportFromAnotherRegionWaits(t *testing.T) {
 	s := newState()
-	feed(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
+	deliver(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
 	far := claimFrom(1, snapshot.Version{Epoch: 1, Revision: 2}, OtherRegion)
 	assert.Equal(t, count[FetchManifest](s.VersionReported(start, far)), 0)
 	near := claimFrom(2, far.Version, SameDomain)
 	assert.DeepEqual(t, s.VersionReported(start, near), []Effect{FetchManifest{From: "vm-2"}})
 
 	s = newState()
-	feed(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
+	deliver(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
 	s.VersionReported(start, far)
 	wait := s.NextTick(start).Sub(start)
 	assert.Assert(t, wait >= DefaultConfig().CrossRegionDelay/2 && wait <= 2*DefaultConfig().CrossRegionDelay, "%s", wait)
@@ -140,29 +144,32 @@
 	assert.DeepEqual(t, s.VersionReported(start, near), []Effect{FetchManifest{From: "vm-2"}})
 }
 
-// A bad version is read again and again, as a waiting platform gives it. It is
-// told once, its parts are not fetched again, and the next good one passes it.
+// Guards against repeated fetches of a refused version. The platform serves an
+// invalid version on every read. It must be reported once, its parts must not be
+// fetched again, and the next valid version must be applied.
 func TestRefusedVersionIsNotFetchedAgain(t *testing.T) {
 	s := newState()
 	bad := build(t, 1, 1, snapshot.Hash{}, "absent")
-	assert.Equal(t, count[Refuse](feed(s, start, bad)), 1)
-	assert.Equal(t, len(feed(s, start, bad)), 0)
+	assert.Equal(t, count[Refuse](deliver(s, start, bad)), 1)
+	assert.Equal(t, len(deliver(s, start, bad)), 0)
 	assert.Assert(t, s.Applied() == nil)
-	assert.Equal(t, count[Apply](feed(s, start, build(t, 2, 2, snapshot.Hash{}, "tally"))), 1)
+	assert.Equal(t, count[Apply](deliver(s, start, build(t, 2, 2, snapshot.Hash{}, "tally"))), 1)
 	assert.Equal(t, len(s.refused), 0)
 }
 
-// A thousand bad versions in a row must not fill the memory.
+// Guards against unbounded memory: a long series of invalid versions must not
+// grow the list of refused versions beyond its limit.
 func TestMemoryOfRefusedVersionsIsBounded(t *testing.T) {
 	s := newState()
 	for revision := range uint64(maxRefused + 10) {
-		feed(s, start, build(t, revision+1, int(revision), snapshot.Hash{}, "absent"))
+		deliver(s, start, build(t, revision+1, int(revision), snapshot.Hash{}, "absent"))
 	}
 	assert.Equal(t, len(s.refused), maxRefused)
 }
 
-// A peer answers a request for parts with other content, correct by its own
-// hash. It must not be kept, and another source must be asked.
+// Guards against storing unrequested content: a peer answers a request for
+// parts with other content, which matches its own hash. It must be dropped, and
+// another source must be asked.
 func TestPartsThatWereNotAskedForAreNotKept(t *testing.T) {
 	s := newState()
 	publication := build(t, 1, 1, snapshot.Hash{}, "tally")
@@ -176,43 +183,45 @@
 	assert.Assert(t, next[0].(FetchParts).From != asked.From)
 }
 
-// Two operators publish under one number. Without an order among both contents
-// half of the fleet would stay on each for good. All nodes settle on the same
-// one, whichever they saw first, and operators are told once.
+// Guards against a fleet that stays split between two contents published under
+// one version number. All nodes must converge on the same content, whichever
+// they received first, and the conflict must be reported once.
 func TestTwoContentsUnderOneVersion(t *testing.T) {
 	first, second := build(t, 1, 1, snapshot.Hash{}, "tally"), build(t, 1, 2, snapshot.Hash{}, "tally")
 	var settled []snapshot.Hash
 	for _, order := range [][]*snapshot.Publication{{first, second}, {second, first}} {
 		s := newState()
-		feed(s, start, order[0])
-		told := feed(s, start, order[1])
-		told = append(told, feed(s, start, order[1])...)
-		assert.Equal(t, count[Conflict](told), 1)
+		deliver(s, start, order[0])
+		effects := deliver(s, start, order[1])
+		effects = append(effects, deliver(s, start, order[1])...)
+		assert.Equal(t, count[Conflict](effects), 1)
 		settled = append(settled, s.Applied().Root())
 	}
 	assert.Equal(t, settled[0], settled[1])
 }
 
-// An operator builds version 3 from version 1 while version 2 is in force: the
-// change of version 2 is lost. It can't be mended here, but must be told.
+// Guards against an unreported lost update. An operator builds version 3 from
+// version 1 while version 2 is applied, so the change of version 2 is lost. The
+// node cannot resolve this but must report it.
 func TestLostUpdateIsTold(t *testing.T) {
 	s := newState()
 	one := build(t, 1, 1, snapshot.Hash{}, "tally")
 	two := build(t, 2, 2, one.Manifest.Root, "tally")
-	feed(s, start, one)
-	assert.Equal(t, count[Conflict](feed(s, start, two)), 0)
-	told := feed(s, start, build(t, 3, 3, one.Manifest.Root, "tally"))
-	assert.Equal(t, count[Conflict](told), 1)
-	assert.Equal(t, count[Apply](told), 1)
+	deliver(s, start, one)
+	assert.Equal(t, count[Conflict](deliver(s, start, two)), 0)
+	effects := deliver(s, start, build(t, 3, 3, one.Manifest.Root, "tally"))
+	assert.Equal(t, count[Conflict](effects), 1)
+	assert.Equal(t, count[Apply](effects), 1)
 }
 
-// The platform never gives one part of version 2, as when a manifest is
-// published before its parts. Operators are told, version 2 is nowhere in
-// force, and a peer's lower version that can be had is not barred by it.
+// Guards against an incomplete version that blocks a complete one. The platform
+// never serves the parts of version 2, as when a manifest is published before
+// its parts. This must be reported, version 2 must not be applied, and an
+// available lower version of a peer must still be fetched.
 func TestIncompleteVersionDoesNotBarOthers(t *testing.T) {
 	s := newState()
-	lacking, whole := build(t, 2, 2, snapshot.Hash{}, "tally"), build(t, 1, 1, snapshot.Hash{}, "tally")
-	effects := s.ManifestReceived(start, Platform, lacking.Manifest)
+	incomplete, complete := build(t, 2, 2, snapshot.Hash{}, "tally"), build(t, 1, 1, snapshot.Hash{}, "tally")
+	effects := s.ManifestReceived(start, Platform, incomplete.Manifest)
 	now := start
 	for range 20 {
 		for _, effect := range effects {
@@ -227,43 +236,43 @@
 		}
 	}
 	assert.Equal(t, count[Incomplete](effects), 1)
-	pulled := s.VersionReported(now, Claim{From: "vm-1", Version: whole.Manifest.Version, Root: whole.Manifest.Root})
+	pulled := s.VersionReported(now, Claim{From: "vm-1", Version: complete.Manifest.Version, Root: complete.Manifest.Root})
 	assert.DeepEqual(t, pulled, []Effect{FetchManifest{From: "vm-1"}})
 }
 
-// A process restarts under a stale platform that gives version 1, while its
-// peers have version 2. If it served version 1, callers would see the
-// configuration go back. It hears its peers first; a false number and peers
-// that are gone hold it back for ReadyHold only.
+// Guards against a configuration that reverts for callers. A process restarts
+// while a stale platform serves version 1 and the peers have version 2. It must
+// wait for reports from its peers before it is ready. A false version number, or
+// peers that have left, may delay it for ReadyTimeout only.
 func TestFreshProcessHearsItsPeersBeforeItServes(t *testing.T) {
 	s := newState()
 	s.SetPeers(5, 0)
-	feed(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
+	deliver(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
 	assert.Assert(t, !s.Ready(start))
 	for i := range 3 {
 		s.VersionReported(start, claimFrom(i, snapshot.Version{Epoch: 1, Revision: uint64(i)}, SameDomain))
 	}
 	assert.Assert(t, !s.Ready(start), "version 1.2 was reported")
 	assert.Assert(t, s.Ready(start.Add(DefaultConfig().ReadyTimeout)))
-	feed(s, start, build(t, 2, 2, snapshot.Hash{}, "tally"))
+	deliver(s, start, build(t, 2, 2, snapshot.Hash{}, "tally"))
 	assert.Assert(t, s.Ready(start))
 }
 
-// After an epoch raised for a restore, a lower revision is newer; without it
-// the restored platform's version would never come into force.
+// Guards against a restored platform whose versions are ignored: with a higher
+// epoch, a lower revision must count as newer.
 func TestEpochOfARestoreIsNewer(t *testing.T) {
 	s := newState()
-	feed(s, start, build(t, 9, 1, snapshot.Hash{}, "tally"))
+	deliver(s, start, build(t, 9, 1, snapshot.Hash{}, "tally"))
 	restored, err := snapshot.Build(testSet(2, "tally"), snapshot.Origin{Version: snapshot.Version{Epoch: 2, Revision: 4}})
 	assert.NilError(t, err)
-	assert.Equal(t, count[Apply](feed(s, start, restored)), 1)
-	assert.Equal(t, count[Apply](feed(s, start, build(t, 10, 3, snapshot.Hash{}, "tally"))), 0)
+	assert.Equal(t, count[Apply](deliver(s, start, restored)), 1)
+	assert.Equal(t, count[Apply](deliver(s, start, build(t, 10, 3, snapshot.Hash{}, "tally"))), 0)
 	assert.Equal(t, len(contract.Check(s.Applied().Set(), contract.NoPlaces{})), 0)
 }
 
-// The platform failed many times to give the parts of a broken version. The
-// next version is another matter: waiting out the old pause would keep it from
-// the fleet for up to half a minute.
+// Guards against a delayed update after a broken version. The platform failed
+// many times to serve the parts of one version. Applying that backoff to the
+// next version would delay it for up to half a minute.
 func TestNextVersionDoesNotWaitForABrokenOne(t *testing.T) {
 	s := newState()
 	now := start
@@ -274,41 +283,41 @@
 		s.Tick(now)
 	}
 	s.FetchFailed(now, Platform, 0)
-	assert.Equal(t, count[Apply](feed(s, now, build(t, 2, 2, snapshot.Hash{}, "tally"))), 1)
+	assert.Equal(t, count[Apply](deliver(s, now, build(t, 2, 2, snapshot.Hash{}, "tally"))), 1)
 }
 
-// A peer reported a version that does not exist, and is gone since. Operators
-// are alerted while a version is reported and can't be had; the alert must end,
-// or they learn to ignore it.
-func TestFalseReportIsForgotten(t *testing.T) {
+// Guards against an alert that never ends. Operators are alerted while a
+// reported version is not available. A peer reports a version that does not
+// exist and then leaves; its claim must expire.
+func TestFalseReportExpires(t *testing.T) {
 	s := newState()
-	feed(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
+	deliver(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
 	s.VersionReported(start, claimFrom(1, snapshot.Version{Epoch: 7, Revision: 7}, SameDomain))
 	assert.Equal(t, s.ReportedVersion(), snapshot.Version{Epoch: 7, Revision: 7})
 	s.Tick(start.Add(2 * time.Minute))
 	assert.Equal(t, s.ReportedVersion(), s.AppliedVersion())
 }
 
-// The platform's newest version is a bad one. A fresh process that counted it
-// would wait for a version that nobody will ever have in force.
-func TestRefusedVersionHoldsNoFreshProcess(t *testing.T) {
+// Guards against a new process that waits for a refused version. The newest
+// version of the platform is invalid, so no node will ever apply it.
+func TestRefusedVersionDoesNotDelayReadiness(t *testing.T) {
 	s := newState()
-	feed(s, start, build(t, 2, 2, snapshot.Hash{}, "absent"))
+	deliver(s, start, build(t, 2, 2, snapshot.Hash{}, "absent"))
 	good := build(t, 1, 1, snapshot.Hash{}, "tally")
 	claim := claimFrom(1, good.Manifest.Version, SameDomain)
 	claim.Root = good.Manifest.Root
 	s.VersionReported(start, claim)
-	feed(s, start, good)
+	deliver(s, start, good)
 	assert.Assert(t, s.Ready(start))
 	assert.Equal(t, s.ReportedVersion(), good.Manifest.Version)
 }
 
-// Found by the property test (seed 22, 60 steps). Two peers have two versions,
-// and a question to each has failed before. Each version counted as stuck as
-// soon as it was staged, since its source had failed; the node put it aside,
-// pulled the other one, and so on without end and without any version. A version
-// must be tried before it is put aside.
-func TestVersionIsTriedBeforeItIsPutAside(t *testing.T) {
+// Found by the property test (seed 22, 60 steps). Two peers have different
+// versions, and a request to each has failed before. Each version counted as
+// stalled as soon as it was staged, because its source had failed: the node
+// deferred it, fetched the manifest of the other one, and so on forever, without
+// applying any. The parts of a version must be requested before it is deferred.
+func TestVersionIsFetchedBeforeItIsDeferred(t *testing.T) {
 	s := newState()
 	low, high := build(t, 1, 1, snapshot.Hash{}, "tally"), build(t, 2, 2, snapshot.Hash{}, "tally")
 	now := start
--- a/internal/distribution/effect.go
+++ b/internal/distribution/effect.go
@@ -5,37 +5,37 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// Effect is something that the control loop must do.
+// Effect is an action for the control loop to execute.
 type Effect interface{ effect() }
 
-// FetchManifest asks the source for its manifest. The control loop answers
-// with ManifestReceived or FetchFailed.
+// FetchManifest requests the manifest of a source. The control loop calls
+// ManifestReceived or FetchFailed with the result.
 type FetchManifest struct{ From Source }
 
-// FetchParts asks the source for parts by hash. The control loop answers with
-// PartsReceived or FetchFailed.
+// FetchParts requests parts of a source by hash. The control loop calls
+// PartsReceived or FetchFailed with the result.
 type FetchParts struct {
 	From   Source
 	Hashes []snapshot.Hash
 }
 
-// Announce tells peers of the version that was just applied; Audience chooses
-// them.
+// Announce sends the version that was just applied to the peers that
+// AnnouncePeers selects.
 type Announce struct {
 	Version snapshot.Version
 	Root    snapshot.Hash
-	// Origin is where the version came from.
+	// Origin is the distance of the source that the version came from.
 	Origin Distance
 }
 
-// Apply swaps the node's snapshot. It is the only effect that changes what
-// requests see.
+// Apply replaces the node's snapshot. It is the only effect that changes the
+// configuration used for requests.
 type Apply struct {
 	Snapshot *snapshot.Snapshot
 	From     Source
 }
 
-// Refuse records a version that failed its checks.
+// Refuse reports a version that failed validation.
 type Refuse struct {
 	Version  snapshot.Version
 	Root     snapshot.Hash
@@ -43,7 +43,7 @@
 	Findings finding.List
 }
 
-// Conflict tells operators that two of them published over each other.
+// Conflict reports to operators that one publication overwrote another.
 type Conflict struct {
 	Version  snapshot.Version
 	Root     snapshot.Hash
@@ -51,9 +51,9 @@
 	Findings finding.List
 }
 
-// Incomplete tells operators that the platform does not give parts of a
-// version that it published. The version is tried again, and is in force
-// nowhere meanwhile.
+// Incomplete reports to operators that the platform does not serve all parts
+// of a version that it published. The version is retried, and no node applies
+// it until its parts are available.
 type Incomplete struct {
 	Version  snapshot.Version
 	Root     snapshot.Hash
@@ -68,12 +68,11 @@
 func (Conflict) effect()      {}
 func (Incomplete) effect()    {}
 
-// The codes of findings about versions that operators published over each
-// other.
+// Finding codes of conflicting publications.
 const (
-	// CodeSameVersion is two contents under one version number.
+	// CodeSameVersion reports different contents under one version number.
 	CodeSameVersion finding.Code = "version-published-twice"
-	// CodeLostUpdate is a version that was built from an older one than the
-	// version it replaces, so that a change in between is lost.
+	// CodeLostUpdate reports a version that was built from an older one than
+	// the version it replaces, so that a change in between is lost.
 	CodeLostUpdate finding.Code = "version-lost-update"
 )
--- a/internal/distribution/feeds.go
+++ b/internal/distribution/feeds.go
@@ -6,51 +6,53 @@
 	"tamarackquay/internal/membership"
 )
 
-// Feeds is how updates spread in a region: the first VMs of the order of readers read the
-// platform, the next ones follow them, and each further level follows the one before it.
-// So the feeds that a VM serves are bounded however large the region is, and a
-// region that one level suffices for has no other.
+// FeedTopology defines how updates propagate within a region. The VMs are arranged in
+// levels by the reader order: the first VMs are the readers, which read the platform; the
+// VMs of the first level subscribe to the readers, and each further level to the level
+// before it. This bounds the number of feeds that a VM serves whatever the size of the
+// region. A region that fits into one level has no further levels.
 type FeedTopology struct {
-	// Readers is how many VMs everyone in the first level follows.
+	// Readers is the number of VMs that all VMs of the first level subscribe to.
 	Readers int
-	// Most is how many feeds a VM serves, on average over its level at most.
+	// FeedsPerVM limits the number of feeds that a VM serves, averaged over its level.
 	FeedsPerVM int
 }
 
-// parentsPerVM is how many VMs of the level before it a VM follows: the loss of one cuts
-// it off from nothing.
+// parentsPerVM is the number of VMs of the previous level that a VM subscribes to, so that
+// it still receives all updates when one of them fails.
 const parentsPerVM = 2
 
-// level is a range of places in the order of readers: from First, up to End.
+// level is a range of ranks in the reader order: first is included, end is not.
 type level struct{ first, end int }
 
-// levels returns the level of the VM at a place, the one before it and the one after it.
-func (c FeedTopology) levels(place int) (before, own, after level) {
-	own = level{0, c.Readers}
-	after = level{c.Readers, c.Readers + c.FeedsPerVM}
-	for place >= own.end {
+// levels returns the level of the VM with the given rank, and the levels before and after it.
+func (t FeedTopology) levels(rank int) (before, own, after level) {
+	own = level{0, t.Readers}
+	after = level{t.Readers, t.Readers + t.FeedsPerVM}
+	for rank >= own.end {
 		before, own = own, after
-		after = level{own.end, own.end + (own.end-own.first)*c.FeedsPerVM/parentsPerVM}
+		after = level{own.end, own.end + (own.end-own.first)*t.FeedsPerVM/parentsPerVM}
 	}
 	return before, own, after
 }
 
-// Parents returns the VMs that the one at a place of the order of readers follows: the
-// readers in the first level, and further on two of the level before, chosen so that few
-// choose others when a VM comes or goes: one of its own failure domain, where the bytes
-// stay inside, and one of another, so that the loss of a domain leaves one.
-func (c FeedTopology) Parents(order []membership.VM, place int) []membership.VM {
-	if place < c.Readers+c.FeedsPerVM {
-		return order[:min(c.Readers, len(order))]
+// Parents returns the VMs that the VM with the given rank in the reader order subscribes
+// to. In the first level these are the readers. In further levels they are two VMs of the
+// previous level: one in the same failure domain, which keeps the traffic inside the
+// domain, and one in another, so that one parent remains if a domain fails. They are chosen
+// by rendezvous hashing, so that few VMs change parents when a VM joins or leaves.
+func (t FeedTopology) Parents(order []membership.VM, rank int) []membership.VM {
+	if rank < t.Readers+t.FeedsPerVM {
+		return order[:min(t.Readers, len(order))]
 	}
-	before, _, _ := c.levels(place)
-	self := order[place]
-	near, far := favourites{salt: []byte(self.ID)}, favourites{salt: []byte(self.ID)}
+	before, _, _ := t.levels(rank)
+	self := order[rank]
+	near, far := topScored{salt: []byte(self.ID)}, topScored{salt: []byte(self.ID)}
 	for _, vm := range order[before.first:before.end] {
 		if vm.FailureDomain == self.FailureDomain {
-			near.offer(vm)
+			near.add(vm)
 		} else {
-			far.offer(vm)
+			far.add(vm)
 		}
 	}
 	switch {
@@ -62,37 +64,37 @@
 	return []membership.VM{near.vms[0], far.vms[0]}
 }
 
-// Children returns the VMs that follow the one at a place of the order.
-func (c FeedTopology) Children(order []membership.VM, place int) []membership.VM {
-	_, own, after := c.levels(place)
+// Children returns the VMs that subscribe to the VM with the given rank.
+func (t FeedTopology) Children(order []membership.VM, rank int) []membership.VM {
+	_, own, after := t.levels(rank)
 	if own.first == 0 {
-		// The readers follow each other as well.
+		// The readers also subscribe to each other.
 		after.first = 0
 	}
 	var children []membership.VM
 	for child := after.first; child < min(after.end, len(order)); child++ {
-		if child != place && slices.ContainsFunc(c.Parents(order, child), func(vm membership.VM) bool { return vm.ID == order[place].ID }) {
+		if child != rank && slices.ContainsFunc(t.Parents(order, child), func(vm membership.VM) bool { return vm.ID == order[rank].ID }) {
 			children = append(children, order[child])
 		}
 	}
 	return children
 }
 
-// favourites are the VMs with the highest scores of those that were offered.
-type favourites struct {
+// topScored keeps the VMs with the highest scores of those added.
+type topScored struct {
 	salt   []byte
 	vms    [parentsPerVM]membership.VM
 	scores [parentsPerVM]uint64
 	count  int
 }
 
-func (f *favourites) offer(vm membership.VM) {
-	own := score(f.salt, vm.ID)
-	f.count++
-	for i := range f.vms {
-		if f.vms[i].ID == "" || own > f.scores[i] {
-			vm, f.vms[i] = f.vms[i], vm
-			own, f.scores[i] = f.scores[i], own
+func (t *topScored) add(vm membership.VM) {
+	own := score(t.salt, vm.ID)
+	t.count++
+	for i := range t.vms {
+		if t.vms[i].ID == "" || own > t.scores[i] {
+			vm, t.vms[i] = t.vms[i], vm
+			own, t.scores[i] = t.scores[i], own
 		}
 	}
 }
--- a/internal/distribution/main_test.go
+++ b/internal/distribution/main_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed, so that CI has the same
-// verdict each run. A search with others: go test -rapid.seed=N -rapid.checks=5000.
+// TestMain sets a fixed seed for the property tests, so that CI runs are
+// deterministic. To search with other seeds, run
+// go test -rapid.seed=N -rapid.checks=5000.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
--- a/internal/distribution/memory.go
+++ b/internal/distribution/memory.go
@@ -8,13 +8,13 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// maxRefused bounds the memory of refused versions. A forgotten one is checked
-// and refused again, which costs a fetch.
+// maxRefused bounds the number of refused versions that are kept. A version
+// that was evicted is fetched, validated and refused again.
 const maxRefused = 64
 
-// refusals remembers the versions that failed their checks. Version and root
-// together name one: a later publication under the same number with other
-// content is another version.
+// refusals holds the versions that failed validation. An entry is identified by
+// version and root together: a later publication under the same number with
+// different content is another version.
 type refusals map[content]bool
 
 func (r refusals) has(c content) bool { return r[c] }
@@ -37,24 +37,24 @@
 	return oldest
 }
 
-// dropUpTo forgets versions that their order already bars.
-func (r refusals) dropUpTo(inForce content) {
+// dropUpTo removes versions that are not newer than the applied one: these are
+// never staged anyway.
+func (r refusals) dropUpTo(applied content) {
 	for c := range r {
-		if !c.newerThan(inForce) {
+		if !c.newerThan(applied) {
 			delete(r, c)
 		}
 	}
 }
 
-// historyLength is how many earlier roots a node remembers to find lost
-// updates.
+// historyLength is the number of previous roots that a node keeps to detect
+// lost updates.
 const historyLength = 16
 
-// history holds the roots that were in force before the present one, and the
-// last conflict that was told.
+// history holds the previously applied roots and the last reported conflict.
 type history struct {
-	roots []snapshot.Hash
-	told  content
+	roots    []snapshot.Hash
+	reported content
 }
 
 func (h *history) add(root snapshot.Hash) {
@@ -64,27 +64,28 @@
 	}
 }
 
-// conflicts finds operators who published over each other. The system can't
-// mend it, since it never writes; it tells, once per content.
+// conflicts detects publications that overwrite each other. The system cannot
+// resolve a conflict, because it never writes configuration; it reports the
+// conflict, once per content.
 func (s *State) conflicts(from Source, manifest *snapshot.Manifest) []Effect {
-	offered, inForce := contentOf(manifest), s.inForce()
-	if s.applied == nil || offered == inForce || offered == s.history.told {
+	offered, applied := contentOf(manifest), s.appliedContent()
+	if s.applied == nil || offered == applied || offered == s.history.reported {
 		return nil
 	}
 	var found finding.Finding
 	switch {
-	case offered.version == inForce.version:
+	case offered.version == applied.version:
 		found = finding.Finding{Code: CodeSameVersion, Key: "version",
-			Problem: fmt.Sprintf("version %s has two contents, %s and %s", offered.version, inForce.root.Short(), offered.root.Short()),
+			Problem: fmt.Sprintf("version %s has two contents, %s and %s", offered.version, applied.root.Short(), offered.root.Short()),
 			Hint:    "merge both changes and publish them under a higher revision"}
-	case offered.newerThan(inForce) && manifest.Parent != inForce.root && slices.Contains(s.history.roots, manifest.Parent):
+	case offered.newerThan(applied) && manifest.Parent != applied.root && slices.Contains(s.history.roots, manifest.Parent):
 		found = finding.Finding{Code: CodeLostUpdate, Key: "parent",
-			Problem: fmt.Sprintf("version %s was built from %s, before version %s", offered.version, manifest.Parent.Short(), inForce.version),
-			Hint:    "check with tamarackctl diff what was lost and publish it again"}
+			Problem: fmt.Sprintf("version %s was built from %s, before version %s", offered.version, manifest.Parent.Short(), applied.version),
+			Hint:    "use tamarackctl diff to find the lost change and publish it again"}
 	default:
 		return nil
 	}
 	found.File = "version"
-	s.history.told = offered
+	s.history.reported = offered
 	return []Effect{Conflict{Version: offered.version, Root: offered.root, From: from, Findings: finding.List{found}}}
 }
--- a/internal/distribution/place.go
+++ b/internal/distribution/place.go
@@ -13,7 +13,7 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// DistanceOf returns how far to is from the VM from.
+// DistanceOf returns the distance between two VMs.
 func DistanceOf(from, to membership.VM) Distance {
 	switch {
 	case from.Region != to.Region:
@@ -24,20 +24,20 @@
 	return SameDomain
 }
 
-// score is the rendezvous hash of a VM under a salt. All nodes that see the
-// same VMs order them alike without talking about it, and a VM that comes or
-// goes moves only its own place.
+// score returns the rendezvous hash of a VM under a salt. All nodes that see
+// the same VMs compute the same order without coordination, and a VM that joins
+// or leaves does not change the relative order of the others.
 func score(salt []byte, id string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	// Write to a hash never fails.
+	// Writes to a hash never fail.
 	_, _ = digest.Write(salt)
 	_, _ = digest.WriteString(id)
 	return digest.Sum64()
 }
 
-// ordered sorts VMs by their scores, highest first.
-func ordered(salt []byte, vms []membership.VM) []membership.VM {
+// sortByScore returns the VMs sorted by score, highest first.
+func sortByScore(salt []byte, vms []membership.VM) []membership.VM {
 	type scored struct {
 		score uint64
 		index int
@@ -56,25 +56,26 @@
 	return sorted
 }
 
-// readerSalt keeps the order of readers apart from other uses of the hash.
+// readerSalt makes the reader order independent of other uses of the hash.
 var readerSalt = []byte("reader")
 
-// ReaderRank returns how many live VMs of the region come before self in the
-// order of readers; a node reads the platform while its rank is below the
-// wanted number of readers.
+// ReaderRank returns the number of live VMs of the region that precede self in
+// the reader order. A node reads the platform while its rank is below the
+// configured number of readers.
 func ReaderRank(self membership.VM, live []membership.VM) int {
 	return slices.IndexFunc(ReaderOrder(self, live), func(vm membership.VM) bool { return vm.ID == self.ID })
 }
 
-// ReaderOrder sorts the VMs of self's region, self among them, in the order in
-// which they are to read the platform. The order takes each failure domain's
-// first VM before any domain's second, so that a lost domain does not take all
-// readers with it. Nodes that see different VMs may both read, or for a moment
-// neither: that costs a read or a probe's time, never correctness.
+// ReaderOrder returns the VMs of self's region, including self, in the order in
+// which they become readers of the platform. The first VM of each failure domain
+// precedes the second VM of any domain, so that the failure of one domain does
+// not remove all readers. Nodes that see different VMs may both read, or for a
+// short time neither: this costs an extra read or the time until the next
+// probe, and never affects correctness.
 func ReaderOrder(self membership.VM, live []membership.VM) []membership.VM {
 	inDomain := map[string]int{}
 	var rounds [][]membership.VM
-	for _, vm := range ordered(readerSalt, ofRegion(self, live)) {
+	for _, vm := range sortByScore(readerSalt, inRegion(self, live)) {
 		round := inDomain[vm.FailureDomain]
 		inDomain[vm.FailureDomain]++
 		if round == len(rounds) {
@@ -85,8 +86,8 @@
 	return slices.Concat(rounds...)
 }
 
-// FirstReaders returns the VMs of a region that read before all others, whatever their
-// failure domain, so many at most.
+// FirstReaders returns the first VMs of a region by reader score, at most count and
+// regardless of their failure domain.
 func FirstReaders(region string, live []membership.VM, count int) []membership.VM {
 	var first []membership.VM
 	var scores []uint64
@@ -106,8 +107,8 @@
 	return first
 }
 
-// ofRegion returns the VMs of self's region, self among them once.
-func ofRegion(self membership.VM, live []membership.VM) []membership.VM {
+// inRegion returns the VMs of self's region, including self exactly once.
+func inRegion(self membership.VM, live []membership.VM) []membership.VM {
 	vms := []membership.VM{self}
 	for _, vm := range live {
 		if vm.Region == self.Region && vm.ID != self.ID {
@@ -117,113 +118,116 @@
 	return vms
 }
 
-// Audience chooses whom a node tells of a version that it has just applied,
-// from the live VMs that it sees. Origin is where the version came from: a
-// version crosses into each other region once per path, from there into each
-// failure domain once per path, and spreads inside the domain along trees. With
-// one path a lost announce cuts off a subtree until the next heartbeats; each
-// further path has another order, so that a node hangs from another parent.
+// AnnouncePeers selects, from the live VMs, the peers to which a node announces
+// a version that it has just applied. Origin is the distance of the source that
+// the version came from. On each path a version enters each other region once,
+// enters each failure domain there once, and propagates inside the domain along
+// a tree. With a single path, a lost announcement cuts off a subtree until the
+// next heartbeats; each further path uses another order, which gives a node a
+// different parent.
 func AnnouncePeers(config Config, self membership.VM, live []membership.VM, root snapshot.Hash, origin Distance) []membership.VM {
-	a := &audience{self: self, chosen: map[string]bool{self.ID: true}}
-	regions, domains := byPlace(self, live)
+	peers := &peerSet{self: self, chosen: map[string]bool{self.ID: true}}
+	regions, domains := groupVMs(self, live)
 	for path := range config.Redundancy {
 		salt := binary.BigEndian.AppendUint64(root[:], uint64(path))
 		if origin == FromPlatform {
-			a.addFirstOfEach(salt, regions)
+			peers.addFirstOfEach(salt, regions)
 		}
 		if origin == FromPlatform || origin == OtherRegion {
-			a.addFirstOfEach(salt, domains)
+			peers.addFirstOfEach(salt, domains)
 		}
-		a.addTree(salt, domains[self.FailureDomain], config.Children, origin != SameDomain)
+		peers.addTree(salt, domains[self.FailureDomain], config.Children, origin != SameDomain)
 	}
-	return a.vms
+	return peers.vms
 }
 
-// byPlace sorts VMs into the other regions and the domains of the own region.
-func byPlace(self membership.VM, live []membership.VM) (regions, domains map[string][]membership.VM) {
+// groupVMs groups the VMs of other regions by region, and those of self's
+// region by failure domain.
+func groupVMs(self membership.VM, live []membership.VM) (regions, domains map[string][]membership.VM) {
 	regions, domains = map[string][]membership.VM{}, map[string][]membership.VM{}
 	for _, vm := range live {
 		if vm.Region != self.Region {
 			regions[vm.Region] = append(regions[vm.Region], vm)
 		}
 	}
-	for _, vm := range ofRegion(self, live) {
+	for _, vm := range inRegion(self, live) {
 		domains[vm.FailureDomain] = append(domains[vm.FailureDomain], vm)
 	}
 	return regions, domains
 }
 
-// audience collects the chosen VMs, each once.
-type audience struct {
+// peerSet collects the selected VMs without duplicates.
+type peerSet struct {
 	self   membership.VM
 	chosen map[string]bool
 	vms    []membership.VM
 }
 
-func (a *audience) add(vm membership.VM) {
-	if !a.chosen[vm.ID] {
-		a.chosen[vm.ID] = true
-		a.vms = append(a.vms, vm)
+func (p *peerSet) add(vm membership.VM) {
+	if !p.chosen[vm.ID] {
+		p.chosen[vm.ID] = true
+		p.vms = append(p.vms, vm)
 	}
 }
 
-func (a *audience) addFirstOfEach(salt []byte, places map[string][]membership.VM) {
+func (p *peerSet) addFirstOfEach(salt []byte, places map[string][]membership.VM) {
 	names := make([]string, 0, len(places))
 	for name := range places {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		a.add(ordered(salt, places[name])[0])
+		p.add(sortByScore(salt, places[name])[0])
 	}
 }
 
-// addTree adds the node's children in the tree over its domain; a node through
-// which the version enters the domain tells the tree's root as well.
-func (a *audience) addTree(salt []byte, domain []membership.VM, children int, enters bool) {
-	tree := ordered(salt, domain)
-	if enters {
-		a.add(tree[0])
+// addTree adds the node's children in the tree of its domain. If the version
+// enters the domain at this node, the root of the tree is added as well.
+func (p *peerSet) addTree(salt []byte, domain []membership.VM, children int, entry bool) {
+	tree := sortByScore(salt, domain)
+	if entry {
+		p.add(tree[0])
 	}
-	own := slices.IndexFunc(tree, func(vm membership.VM) bool { return vm.ID == a.self.ID })
+	own := slices.IndexFunc(tree, func(vm membership.VM) bool { return vm.ID == p.self.ID })
 	for child := own*children + 1; child <= own*children+children && child < len(tree); child++ {
-		a.add(tree[child])
+		p.add(tree[child])
 	}
 }
 
-// Pace bounds what the whole fleet reads of the platform by what each node
-// does, without any of them knowing what the others do.
+// ReadPacing limits the platform reads of the whole fleet. Each node applies it
+// on its own, without coordination.
 type ReadPacing struct {
-	// Readers is how many nodes of a region hold a watch.
+	// Readers is the number of nodes per region that hold a watch on the
+	// platform.
 	Readers int
-	// FleetRate is how many reads a second all nodes that are no readers make
-	// together, of each kind (manifest, VM list).
+	// FleetRate is the number of reads per second, of each kind (manifest, VM
+	// list), that all non-reader nodes make together.
 	FleetRate float64
-	// Least is the shortest time between two such reads of one node.
+	// MinInterval is the minimum time between two such reads of one node.
 	MinInterval time.Duration
-	// StartSpread is the time over which nodes that start together spread
-	// their first reads.
+	// StartSpread is the interval over which the first reads of nodes that
+	// start together are distributed at random.
 	StartSpread time.Duration
-	// PartsRate is how many parts a second one node reads.
+	// PartsRate limits the parts that one node reads, per second.
 	PartsRate float64
 }
 
-// DefaultPace keeps 1,600 nodes in 4 regions under 1,000 reads a second when
-// all start at once, and near 10 a second at rest.
+// DefaultReadPacing keeps 1,600 nodes in 4 regions under 1,000 reads per second
+// when all start at once, and near 10 per second in the steady state.
 func DefaultReadPacing() ReadPacing {
 	return ReadPacing{Readers: 2, FleetRate: 4, MinInterval: 10 * time.Second, StartSpread: 4 * time.Second, PartsRate: 80}
 }
 
-// ProbeAfter returns how long a node that is no reader waits for its next read
-// of the platform. Whatever silences the readers (a pause, a cut that they
-// don't notice, views that differ), some node of the fleet finds the news
-// within a moment, and the fleet's reads don't grow with its size.
+// ProbeDelay returns how long a non-reader node waits before its next read of
+// the platform. If the readers pass on no updates (because of a pause, an
+// undetected partition or differing views), one of the other nodes soon finds
+// an update. The fleet's total read rate does not grow with its size.
 func (p ReadPacing) ProbeDelay(random *rand.Rand, live int) time.Duration {
 	interval := time.Duration(float64(live) / p.FleetRate * float64(time.Second))
-	return around(random, max(interval, p.MinInterval))
+	return jitter(random, max(interval, p.MinInterval))
 }
 
-// StartAfter returns how long a fresh process waits for its first read.
+// StartDelay returns how long a new process waits before its first read.
 func (p ReadPacing) StartDelay(random *rand.Rand) time.Duration {
 	if p.StartSpread <= 0 {
 		return 0
--- a/internal/distribution/place_test.go
+++ b/internal/distribution/place_test.go
@@ -12,7 +12,8 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// fleetVMs are n VMs spread over the domains, and these over the regions.
+// fleetVMs returns n VMs distributed over the failure domains, and the domains
+// over the regions.
 func fleetVMs(n, domains, regions int) []membership.VM {
 	vms := make([]membership.VM, n)
 	for i := range vms {
@@ -22,9 +23,10 @@
 	return vms
 }
 
-// At the size to design for, one change reaches every node by announces alone:
-// each region is told once per path, each node a few times, and no node tells
-// many.
+// Guards against nodes that no announcement reaches, and against announcements
+// in excess. In a fleet of 1,600 nodes one change must reach every node by
+// announcements alone: each region is entered once per path, each node receives
+// a few announcements, and no node sends many.
 func TestAudienceReachesEveryNode(t *testing.T) {
 	vms := fleetVMs(1600, 13, 4)
 	root := snapshot.HashOf([]byte("version"))
@@ -34,13 +36,13 @@
 	queue := []membership.VM{vms[0]}
 	crossings, messages := 0, 0
 	for len(queue) > 0 {
-		teller := queue[0]
+		sender := queue[0]
 		queue = queue[1:]
-		audience := AnnouncePeers(config, teller, vms, root, reached[teller.ID])
-		assert.Assert(t, len(audience) <= 3+3+config.Children+1, "one node tells %d", len(audience))
-		for _, vm := range audience {
+		peers := AnnouncePeers(config, sender, vms, root, reached[sender.ID])
+		assert.Assert(t, len(peers) <= 3+3+config.Children+1, "one node announces to %d", len(peers))
+		for _, vm := range peers {
 			messages++
-			distance := DistanceOf(teller, vm)
+			distance := DistanceOf(sender, vm)
 			if distance == OtherRegion {
 				crossings++
 			}
@@ -55,9 +57,10 @@
 	assert.Assert(t, messages < 1600+13*4, "%d announces", messages)
 }
 
-// All nodes agree on the readers without talking, the first two of a region lie
-// in two failure domains, and a reader that is gone is replaced by the next.
-func TestReadersAreAgreedOn(t *testing.T) {
+// Guards against nodes that disagree on the readers. All nodes compute the same
+// ones without coordination, the first two of a region are in different failure
+// domains, and a reader that leaves is replaced by the next in order.
+func TestNodesAgreeOnReaders(t *testing.T) {
 	vms := fleetVMs(60, 13, 4)
 	ranks := func(live []membership.VM) map[int]membership.VM {
 		byRank := map[int]membership.VM{}
@@ -81,9 +84,9 @@
 	assert.Equal(t, after[0].ID, before[1].ID)
 }
 
-// The reads that 1,600 nodes in 4 regions make of the platform, counted over
-// the drawn times: under 50 a second at rest, and never over 1,000 when all
-// start within the same moment.
+// Guards against overloading the platform with reads. 1,600 nodes in 4 regions,
+// with random delays, must stay under 50 reads per second in the steady state
+// and under 1,000 when all start at the same time.
 func TestFleetReadsAreBounded(t *testing.T) {
 	const nodes, regions, kinds = 1600, 4, 2
 	const watchWait, listInterval = 20, 5
@@ -104,22 +107,22 @@
 	}
 	peak := 0
 	for _, lists := range perSecond {
-		// Meanwhile the first reader of each region reads parts, and each
-		// reader its manifest.
+		// At the same time the first reader of each region reads parts, and
+		// each reader reads its manifest.
 		peak = max(peak, lists+regions*(int(pace.PartsRate)+pace.Readers))
 	}
 	t.Logf("reads/s when all start: %d", peak)
 	assert.Assert(t, peak < 1000, "%d reads/s", peak)
 }
 
-// Guards against two answers to who reads first: nodes of other regions ask for the
-// first one alone.
+// Guards against FirstReaders and ReaderOrder disagreeing on the first reader of a
+// region: nodes of other regions compute only the former.
 func TestFirstReaderIsTheFirstOfTheOrder(t *testing.T) {
 	vms := fleetVMs(120, 13, 4)
 	for _, vm := range vms {
 		first := FirstReaders(vm.Region, vms, 3)
 		assert.Equal(t, first[0].ID, ReaderOrder(vm, vms)[0].ID)
-		assert.DeepEqual(t, first, ordered(readerSalt, ofRegion(vm, vms))[:3])
+		assert.DeepEqual(t, first, sortByScore(readerSalt, inRegion(vm, vms))[:3])
 	}
 	assert.Equal(t, len(FirstReaders("nowhere", vms, 3)), 0)
 }
--- a/internal/distribution/property_test.go
+++ b/internal/distribution/property_test.go
@@ -11,117 +11,120 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// Callers see a configuration go back, a route without a service, or half a
-// version if any order of events lets a node apply what it should not. Messages
-// are lost, doubled and reordered, the platform is stale, down, restored and
-// wrong, operators race and nodes restart; after each step every node must be
-// at or above what it had, and whole.
+// Guards against any order of events in which a node reverts to an older
+// version, or applies an incomplete version or one with a route to a missing
+// service. Messages are lost, duplicated and reordered, the platform is stale,
+// down, restored and wrong, operators publish concurrently and nodes restart.
+// After each step every node must hold a complete version that is not older than
+// its previous one.
 func TestAnyOrderOfEventsKeepsThePromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		cl := newCluster(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"":                                     func(*rapid.T) { w.check() },
-			"publish good":                         func(*rapid.T) { w.publish("tally", nil) },
-			"publish a route to a missing service": func(*rapid.T) { w.publish("absent", nil) },
+			"":                                     func(*rapid.T) { cl.check() },
+			"publish good":                         func(*rapid.T) { cl.publish("tally", nil) },
+			"publish a route to a missing service": func(*rapid.T) { cl.publish("absent", nil) },
 			"publish without a part": func(*rapid.T) {
-				w.publish("tally", func(parts snapshot.Parts) {
+				cl.publish("tally", func(parts snapshot.Parts) {
 					for hash := range parts {
 						delete(parts, hash)
 					}
 				})
 			},
 			"publish broken parts": func(*rapid.T) {
-				w.publish("tally", func(parts snapshot.Parts) {
+				cl.publish("tally", func(parts snapshot.Parts) {
 					for hash := range parts {
 						parts[hash] = []byte("broken")
 					}
 				})
 			},
 			"publish the same version twice": func(t *rapid.T) {
-				version := snapshot.Version{Epoch: 1, Revision: w.revision}
-				if w.revision > 0 {
-					w.publishAs(version, int(w.revision)+100, "tally", nil)
+				version := snapshot.Version{Epoch: 1, Revision: cl.revision}
+				if cl.revision > 0 {
+					cl.publishAs(version, int(cl.revision)+100, "tally", nil)
 				}
 			},
 			"platform is stale": func(t *rapid.T) {
-				if len(w.published) > 0 {
-					w.served = rapid.IntRange(0, len(w.published)-1).Draw(t, "served")
+				if len(cl.published) > 0 {
+					cl.served = rapid.IntRange(0, len(cl.published)-1).Draw(t, "served")
 				}
 			},
-			"platform goes down or up": func(*rapid.T) { w.down = !w.down },
+			"platform goes down or up": func(*rapid.T) { cl.down = !cl.down },
 			"read the platform": func(t *rapid.T) {
-				w.answerManifest(rapid.SampledFrom(w.nodes).Draw(t, "reader"), Platform)
+				cl.sendManifest(rapid.SampledFrom(cl.nodes).Draw(t, "reader"), Platform)
 			},
 			"heartbeat": func(t *rapid.T) {
-				from := rapid.SampledFrom(w.nodes).Draw(t, "from")
-				to := rapid.SampledFrom(w.nodes).Draw(t, "to")
-				w.claim(from, to, false)
+				from := rapid.SampledFrom(cl.nodes).Draw(t, "from")
+				to := rapid.SampledFrom(cl.nodes).Draw(t, "to")
+				cl.sendClaim(from, to, false)
 			},
 			"false report": func(t *rapid.T) {
-				from := rapid.SampledFrom(w.nodes).Draw(t, "from").id
-				to := rapid.SampledFrom(w.nodes).Draw(t, "to")
+				from := rapid.SampledFrom(cl.nodes).Draw(t, "from").id
+				to := rapid.SampledFrom(cl.nodes).Draw(t, "to")
 				claim := Claim{From: from, Version: snapshot.Version{Epoch: 9, Revision: 9}, Announced: true}
-				w.perform(to, to.state.VersionReported(w.now, claim))
+				cl.perform(to, to.state.VersionReported(cl.now, claim))
 			},
-			"deliver": func(*rapid.T) { w.take(false)() },
+			"deliver": func(*rapid.T) { cl.takeMessage(false)() },
 			"deliver many": func(t *rapid.T) {
 				for range rapid.IntRange(2, 20).Draw(t, "messages") {
-					w.take(false)()
+					cl.takeMessage(false)()
 				}
 			},
-			"everything arrives": func(*rapid.T) { w.beat() },
-			"duplicate":          func(*rapid.T) { w.take(true)() },
-			"lose":               func(*rapid.T) { w.take(false) },
+			"everything arrives": func(*rapid.T) { cl.heartbeatRound() },
+			"duplicate":          func(*rapid.T) { cl.takeMessage(true)() },
+			"lose":               func(*rapid.T) { cl.takeMessage(false) },
 			"time passes": func(t *rapid.T) {
-				w.pass(time.Duration(rapid.IntRange(1, 12000).Draw(t, "ms")) * time.Millisecond)
+				cl.advance(time.Duration(rapid.IntRange(1, 12000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"restart": func(t *rapid.T) { w.restart(rapid.IntRange(0, worldNodes-1).Draw(t, "node")) },
+			"restart": func(t *rapid.T) { cl.restart(rapid.IntRange(0, clusterSize-1).Draw(t, "node")) },
 		})
-		// Once messages arrive again, all nodes get what can be had.
-		w.settle(2 * time.Minute)
-		w.check()
+		// Once messages are delivered again, all nodes must converge on the
+		// highest available version.
+		cl.converge(2 * time.Minute)
+		cl.check()
 	})
 }
 
-// check holds after every step.
-func (w *world) check() {
-	for _, n := range w.nodes {
-		inForce := n.state.inForce()
-		assert.Assert(w.t, !n.last.newerThan(inForce), "%s went back from %s to %s", n.id, n.last.version, inForce.version)
-		n.last = inForce
+// check verifies the invariants after every step.
+func (cl *cluster) check() {
+	for _, n := range cl.nodes {
+		applied := n.state.appliedContent()
+		assert.Assert(cl.t, !n.last.newerThan(applied), "%s reverted from %s to %s", n.id, n.last.version, applied.version)
+		n.last = applied
 		if applied := n.state.Applied(); applied != nil {
-			w.checkWhole(applied)
+			cl.checkComplete(applied)
 		}
-		w.checkBounds(n.state)
+		cl.checkBounds(n.state)
 	}
 }
 
-// checkWhole proves that a version is there whole and points at nothing that
-// it lacks.
-func (w *world) checkWhole(applied *snapshot.Snapshot) {
+// checkComplete verifies that all parts of a version are present and that its
+// routes refer to existing services.
+func (cl *cluster) checkComplete(applied *snapshot.Snapshot) {
 	_, missing, err := snapshot.Select(applied.Manifest(), applied.Parts())
-	assert.NilError(w.t, err)
-	assert.Equal(w.t, len(missing), 0)
+	assert.NilError(cl.t, err)
+	assert.Equal(cl.t, len(missing), 0)
 	for hash, raw := range applied.Parts() {
-		assert.Assert(w.t, snapshot.HashOf(raw) == hash, "content does not match its hash")
+		assert.Assert(cl.t, snapshot.HashOf(raw) == hash, "content does not match its hash")
 	}
 	for _, c := range applied.Set().Contracts {
 		for _, route := range c.Routes {
-			assert.Assert(w.t, applied.Service(route.Service) != nil, "route to missing service %s", route.Service)
+			assert.Assert(cl.t, applied.Service(route.Service) != nil, "route to missing service %s", route.Service)
 		}
 	}
-	assert.Equal(w.t, len(contract.Check(applied.Set(), contract.NoPlaces{})), 0)
+	assert.Equal(cl.t, len(contract.Check(applied.Set(), contract.NoPlaces{})), 0)
 }
 
-func (w *world) checkBounds(s *State) {
-	assert.Assert(w.t, len(s.sources) <= maxSources)
-	assert.Assert(w.t, len(s.refused) <= maxRefused)
+func (cl *cluster) checkBounds(s *State) {
+	assert.Assert(cl.t, len(s.sources) <= maxSources)
+	assert.Assert(cl.t, len(s.refused) <= maxRefused)
 	if s.staged == nil {
 		return
 	}
-	// 64 groups, 1 service and 3 contracts: nothing else may be held.
-	assert.Assert(w.t, len(s.staged.held) <= snapshot.GroupCount+4, "%d parts are staged", len(s.staged.held))
+	// The version has 64 groups, 1 service and 3 contracts; nothing else may be
+	// held.
+	assert.Assert(cl.t, len(s.staged.held) <= snapshot.GroupCount+4, "%d parts are staged", len(s.staged.held))
 	for hash, raw := range s.staged.held {
-		assert.Assert(w.t, snapshot.HashOf(raw) == hash, "a broken part is staged")
+		assert.Assert(cl.t, snapshot.HashOf(raw) == hash, "a broken part is staged")
 	}
 }
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -7,14 +7,14 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// Source is where a version or its parts come from: a peer's VM id, or the
-// platform.
+// Source identifies a provider of versions and parts: a peer by its VM id, or
+// the platform.
 type Source string
 
-// Platform is the source that is no peer.
+// Platform is the source id of the platform.
 const Platform Source = ""
 
-// Distance orders sources by what a byte from them costs.
+// Distance ranks sources by the cost of transferring data from them.
 type Distance uint8
 
 // The distances, cheapest first.
@@ -22,25 +22,25 @@
 	SameDomain Distance = iota
 	SameRegion
 	OtherRegion
-	// FromPlatform is last: its reads are shared by the whole fleet.
+	// FromPlatform is the most expensive, because the whole fleet shares the
+	// platform's read capacity.
 	FromPlatform
 )
 
-// Claim is what a peer says that it holds. Only the holder itself makes it;
-// claims are not passed on.
+// Claim is a peer's statement that it holds a version. A peer makes claims only
+// about its own version; claims are not relayed.
 type Claim struct {
 	From     Source
 	Version  snapshot.Version
 	Root     snapshot.Hash
 	Distance Distance
-	// Told is set when the peer announced the version to this node on
-	// purpose. Such a claim is acted on sooner than one overheard on a
-	// heartbeat.
+	// Announced is set when the peer sent the claim as an announcement. Such a
+	// claim is acted on sooner than one from a heartbeat.
 	Announced bool
 }
 
-// content orders versions that were published under one number by their root,
-// so that all nodes settle on the same one of them.
+// content identifies a publication. Publications with the same version number
+// are ordered by their root, so that all nodes converge on the same one.
 type content struct {
 	version snapshot.Version
 	root    snapshot.Hash
@@ -57,17 +57,17 @@
 	return string(c.root[:]) > string(other.root[:])
 }
 
-// maxSources bounds the remembered sources. More are of no use: each holds the
-// whole version.
+// maxSources bounds the number of stored sources. More are not needed, because
+// each source holds a complete version.
 const maxSources = 32
 
-// source is what is known of one peer, or of the platform, that claims a
-// version above the one in force.
+// source is a peer, or the platform, that claims a newer version than the
+// applied one.
 type source struct {
 	claim    content
 	distance Distance
-	// due is when the claim may be acted on, notBefore when the source may be
-	// asked again after a failure.
+	// due is the earliest time to act on the claim. notBefore is the earliest
+	// time to retry the source after a failure.
 	due       time.Time
 	notBefore time.Time
 	failures  int
@@ -82,8 +82,8 @@
 	return s.due
 }
 
-// better reports whether s is to be asked before other: the higher claim, then
-// the one that failed less, then the nearer one.
+// better reports whether s is preferred to other: the newer claim first, then
+// fewer failures, then the shorter distance.
 func (s *source) better(other *source) bool {
 	if s.claim != other.claim {
 		return s.claim.newerThan(other.claim)
@@ -94,13 +94,13 @@
 	return s.distance < other.distance
 }
 
-// maxDoublings keeps the shift below from overflowing; the pause is capped
-// long before.
+// maxDoublings keeps the shift in Backoff from overflowing. The backoff reaches
+// its limit long before.
 const maxDoublings = 16
 
-// RetryAfter returns a pause before another try: uniform between zero and a
-// bound that doubles with each failure. Peers that failed together thus don't
-// come back together.
+// Backoff returns the time to wait before a retry: uniformly random between
+// zero and a bound that doubles with each failure. Clients that failed together
+// therefore do not retry together.
 func Backoff(random *rand.Rand, base, limit time.Duration, failures int) time.Duration {
 	bound := min(base<<min(max(failures-1, 0), maxDoublings), limit)
 	if bound <= 0 {
@@ -109,8 +109,8 @@
 	return time.Duration(random.Int64N(int64(bound)))
 }
 
-// around returns a time between half and one and a half of d.
-func around(random *rand.Rand, d time.Duration) time.Duration {
+// jitter returns a random duration between 0.5 and 1.5 times d.
+func jitter(random *rand.Rand, d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
--- a/internal/distribution/staging.go
+++ b/internal/distribution/staging.go
@@ -8,79 +8,83 @@
 )
 
 const (
-	// platformChunk is how many parts are asked of the platform at a time:
-	// few, so that a peer that gets the version meanwhile takes over.
+	// platformChunk is the number of parts per request to the platform. It is
+	// small so that the node can switch to a peer that receives the version in
+	// the meantime.
 	platformChunk = 16
-	// peerChunk is how many parts are asked of a peer at a time.
+	// peerChunk is the number of parts per request to a peer.
 	peerChunk = 2048
 )
 
-// staging is a version that the node is collecting. Nothing of it is visible
-// to requests.
+// staging is a version whose parts the node is fetching. It has no effect on
+// requests until it is applied.
 type staging struct {
 	manifest *snapshot.Manifest
-	// held are the parts collected so far, all of them named by the manifest.
+	// held are the parts fetched so far, all of them listed in the manifest.
 	held snapshot.Parts
-	// spare are the parts of the one version that this one superseded.
-	spare snapshot.Parts
-	asked *request
+	// reusable are the parts of the staged version that this one replaced.
+	reusable snapshot.Parts
+	pending  *request
 	// failures counts the requests for parts that failed since the version was
 	// staged.
 	failures int
-	// retryAt is when a shelved version is tried again.
+	// retryAt is when a deferred version is retried.
 	retryAt time.Time
 }
 
-// answered ends the request to a source, if there is one, and reports so.
-func (st *staging) answered(from Source) bool {
-	if st.asked == nil || st.asked.from != from {
+// clearPending clears the pending request if it was sent to the given source,
+// and reports whether it was.
+func (st *staging) clearPending(from Source) bool {
+	if st.pending == nil || st.pending.from != from {
 		return false
 	}
-	st.asked = nil
+	st.pending = nil
 	return true
 }
 
-// stage starts to collect a version; it takes over the parts that are already
-// here, so that only changed ones move.
+// stage starts to fetch a version. It keeps the parts that were already fetched
+// for the previously staged version, so that only changed parts are transferred.
 func (s *State) stage(now time.Time, from Source, manifest *snapshot.Manifest) {
 	next := &staging{manifest: manifest, held: snapshot.Parts{}}
 	if s.staged != nil {
-		next.spare = s.staged.held
+		next.reusable = s.staged.held
 	}
-	if s.shelf != nil && !contentOf(s.shelf.manifest).newerThan(contentOf(manifest)) {
-		s.shelf = nil
+	if s.deferred != nil && !contentOf(s.deferred.manifest).newerThan(contentOf(manifest)) {
+		s.deferred = nil
 	}
 	s.staged = next
 	if s.sources[from] == nil {
-		s.learn(now, from, contentOf(manifest), SameDomain, now)
+		s.addClaim(now, from, contentOf(manifest), SameDomain, now)
 	}
 }
 
-// PartsReceived takes parts of the staged version. Content that the version
-// does not name is left out; a source that gave nothing of use has failed.
+// PartsReceived processes parts of the staged version. Parts that its manifest
+// does not list are dropped. A requested source that delivered no needed part
+// counts as failed.
 func (s *State) PartsReceived(now time.Time, from Source, parts [][]byte) []Effect {
 	if s.staged == nil {
 		return nil
 	}
-	progress, err := s.keepNamed(parts)
-	asked := s.staged.asked != nil && s.staged.asked.from == from
+	progress, err := s.storeMissing(parts)
+	requested := s.staged.pending != nil && s.staged.pending.from == from
 	switch {
-	case err == nil && !progress && !asked:
+	case err == nil && !progress && !requested:
 		return nil
 	case err == nil && !progress:
 		return s.FetchFailed(now, from, 0)
 	}
-	s.staged.answered(from)
-	if known := s.sources[from]; known != nil {
-		known.failures = 0
+	s.staged.clearPending(from)
+	if src := s.sources[from]; src != nil {
+		src.failures = 0
 	}
 	return s.proceed(now)
 }
 
-// keepNamed holds those of the parts that the staged version lacks. Parts are
-// named by their content, so a wrong or broken one can't pass for another; to
-// hold it all the same would let a broken peer fill the memory.
-func (s *State) keepNamed(parts [][]byte) (progress bool, err error) {
+// storeMissing stores those of the parts that the staged version lacks. Parts
+// are identified by their content hash, so a wrong or corrupt part cannot be
+// mistaken for another. It is still dropped, or a faulty peer could fill the
+// memory.
+func (s *State) storeMissing(parts [][]byte) (progress bool, err error) {
 	_, missing, err := s.selectParts()
 	if err != nil {
 		return false, err
@@ -101,41 +105,41 @@
 }
 
 func (s *State) selectParts() (held snapshot.Parts, missing []snapshot.Hash, err error) {
-	pools := []snapshot.Parts{s.staged.held, s.staged.spare}
+	pools := []snapshot.Parts{s.staged.held, s.staged.reusable}
 	if s.applied != nil {
 		pools = append(pools, s.applied.Parts())
 	}
 	return snapshot.Select(s.staged.manifest, pools...)
 }
 
-// advance asks for what is missing or, when nothing is, checks the version
-// whole and applies or refuses it.
-func (s *State) advance(now time.Time) []Effect {
+// advanceStaged requests the missing parts of the staged version. When none is
+// missing, it validates the complete version and applies or refuses it.
+func (s *State) advanceStaged(now time.Time) []Effect {
 	if s.staged == nil {
 		return nil
 	}
 	held, missing, err := s.selectParts()
 	if err != nil {
-		return s.refuse(finding.List{{Code: snapshot.CodePartCorrupt, File: "version", Problem: err.Error()}})
+		return s.refuseStaged(finding.List{{Code: snapshot.CodePartCorrupt, File: "version", Problem: err.Error()}})
 	}
 	s.staged.held = held
 	if len(missing) > 0 {
-		return s.askParts(now, missing)
+		return s.requestParts(now, missing)
 	}
 	assembled, found := snapshot.Assemble(s.staged.manifest, held)
 	if len(found) > 0 {
-		return s.refuse(found)
+		return s.refuseStaged(found)
 	}
 	return s.apply(assembled)
 }
 
-// askParts asks one source at a time for what is missing.
-func (s *State) askParts(now time.Time, missing []snapshot.Hash) []Effect {
-	if s.staged.asked != nil {
+// requestParts requests missing parts, from one source at a time.
+func (s *State) requestParts(now time.Time, missing []snapshot.Hash) []Effect {
+	if s.staged.pending != nil {
 		return nil
 	}
 	staged := contentOf(s.staged.manifest)
-	from, ok := s.best(now, func(known *source) bool { return known.claim == staged })
+	from, ok := s.bestSource(now, func(src *source) bool { return src.claim == staged })
 	if !ok {
 		return nil
 	}
@@ -143,7 +147,7 @@
 	if from == Platform {
 		chunk = platformChunk
 	}
-	s.staged.asked = &request{from: from, deadline: now.Add(s.config.FetchTimeout)}
+	s.staged.pending = &request{from: from, deadline: now.Add(s.config.FetchTimeout)}
 	return []Effect{FetchParts{From: from, Hashes: missing[:min(chunk, len(missing))]}}
 }
 
@@ -154,40 +158,41 @@
 	}
 	s.applied = assembled
 	s.staged = nil
-	inForce := s.inForce()
-	if s.shelf != nil && !contentOf(s.shelf.manifest).newerThan(inForce) {
-		s.shelf = nil
+	applied := s.appliedContent()
+	if s.deferred != nil && !contentOf(s.deferred.manifest).newerThan(applied) {
+		s.deferred = nil
 	}
-	s.refused.dropUpTo(inForce)
-	s.dropUpTo(inForce)
+	s.refused.dropUpTo(applied)
+	s.dropUpTo(applied)
 	return []Effect{
 		Apply{Snapshot: assembled, From: from},
-		Announce{Version: inForce.version, Root: inForce.root, Origin: origin},
+		Announce{Version: applied.version, Root: applied.root, Origin: origin},
 	}
 }
 
-// origin returns the nearest source that held the staged version, which is the
-// one that gave its last parts unless that has moved on since.
+// origin returns the nearest source that claims the staged version. This is the
+// source of its last parts, unless that source has claimed another version
+// since.
 func (s *State) origin() (Source, Distance) {
 	staged := contentOf(s.staged.manifest)
 	from, origin := Platform, FromPlatform
-	for candidate, known := range s.sources {
-		if known.claim == staged && (known.distance < origin || known.distance == origin && candidate < from) {
-			from, origin = candidate, known.distance
+	for candidate, src := range s.sources {
+		if src.claim == staged && (src.distance < origin || src.distance == origin && candidate < from) {
+			from, origin = candidate, src.distance
 		}
 	}
 	return from, origin
 }
 
-func (s *State) dropUpTo(inForce content) {
-	for from, known := range s.sources {
-		if !known.claim.newerThan(inForce) {
+func (s *State) dropUpTo(applied content) {
+	for from, src := range s.sources {
+		if !src.claim.newerThan(applied) {
 			delete(s.sources, from)
 		}
 	}
 }
 
-func (s *State) refuse(found finding.List) []Effect {
+func (s *State) refuseStaged(found finding.List) []Effect {
 	bad := contentOf(s.staged.manifest)
 	from, _ := s.origin()
 	s.refused.add(bad)
@@ -195,65 +200,66 @@
 	return []Effect{Refuse{Version: bad.version, Root: bad.root, From: from, Findings: found}}
 }
 
-// Bounds on telling of an incomplete version: after how many failures of the
-// platform, and how many of its parts are named.
+// Limits of the report of an incomplete version: the number of platform
+// failures after which it is sent, and the number of parts that it lists.
 const (
-	tellIncompleteAfter = 3
-	maxPartsTold        = 5
+	incompleteAfterFailures = 3
+	maxPartsReported        = 5
 )
 
-// incomplete tells once of a version whose parts the platform does not give: a
-// part that was never published, or whose content is not what its hash says.
-func (s *State) incomplete(from Source) []Effect {
-	known := s.sources[Platform]
-	if from != Platform || s.staged == nil || known == nil || known.failures != tellIncompleteAfter {
+// reportIncomplete reports, once, a version whose parts the platform does not
+// serve: a part was never published, or its content does not match its hash.
+func (s *State) reportIncomplete(from Source) []Effect {
+	src := s.sources[Platform]
+	if from != Platform || s.staged == nil || src == nil || src.failures != incompleteAfterFailures {
 		return nil
 	}
 	staged := contentOf(s.staged.manifest)
 	_, missing, err := s.selectParts()
-	if err != nil || known.claim != staged {
+	if err != nil || src.claim != staged {
 		return nil
 	}
 	var found finding.List
-	for _, hash := range missing[:min(len(missing), maxPartsTold)] {
+	for _, hash := range missing[:min(len(missing), maxPartsReported)] {
 		found = append(found, finding.Finding{Code: snapshot.CodePartMissing, File: "version", Key: "part " + hash.Short(),
-			Problem: "the platform gives no content with this hash", Hint: "publish the part, or the version again under a higher revision"})
+			Problem: "the platform serves no content with this hash", Hint: "publish the part, or publish the version again under a higher revision"})
 	}
 	return []Effect{Incomplete{Version: staged.version, Root: staged.root, Findings: found}}
 }
 
-// shelveIfStuck puts the staged version aside when nobody gives it and another
-// version above the one in force can be had. Without this, a publication that
-// lacks a part, or a peer's manifest that nobody can back, would keep a node
-// from the good version that all its peers serve.
-func (s *State) shelveIfStuck(now time.Time) {
-	if s.staged == nil || !s.stuck() {
+// deferIfStalled defers the staged version when no source provides it and
+// another version newer than the applied one is available. Without this, a
+// publication that lacks a part, or a manifest from a peer whose parts no source
+// has, would keep a node from the valid version that all its peers serve.
+func (s *State) deferIfStalled(now time.Time) {
+	if s.staged == nil || !s.stalled() {
 		return
 	}
-	staged, inForce := contentOf(s.staged.manifest), s.inForce()
-	_, ok := s.best(now, func(known *source) bool {
-		return known.claim.newerThan(inForce) && staged.newerThan(known.claim) && !s.refused.has(known.claim)
+	staged, applied := contentOf(s.staged.manifest), s.appliedContent()
+	_, ok := s.bestSource(now, func(src *source) bool {
+		return src.claim.newerThan(applied) && staged.newerThan(src.claim) && !s.refused.has(src.claim)
 	})
 	if !ok {
 		return
 	}
 	s.staged.retryAt = now.Add(s.config.FetchRetryMax)
-	s.staged.asked = nil
-	s.shelf, s.staged = s.staged, nil
+	s.staged.pending = nil
+	s.deferred, s.staged = s.staged, nil
 }
 
-// stuck reports whether the staged version has no source left, or was tried and
-// each source of it has failed. Failures from before it was staged don't count
-// by themselves: two versions whose sources once failed would take turns on the
-// shelf without end, and neither would be tried.
-func (s *State) stuck() bool {
+// stalled reports whether the staged version has no source left, or all its
+// sources have failed and a request for its parts has failed since it was
+// staged. Source failures from before the staging are not enough: two versions
+// whose sources had failed once would defer each other forever, and neither
+// would be fetched.
+func (s *State) stalled() bool {
 	staged := contentOf(s.staged.manifest)
 	sources := 0
-	for _, known := range s.sources {
-		if known.claim != staged {
+	for _, src := range s.sources {
+		if src.claim != staged {
 			continue
 		}
-		if known.failures == 0 {
+		if src.failures == 0 {
 			return false
 		}
 		sources++
@@ -261,21 +267,21 @@
 	return sources == 0 || s.staged.failures > 0
 }
 
-// takeFromShelf tries a version again that lacked parts: when its time has
-// come and nothing else is staged, or at once when a source turns up that has
-// not failed yet.
-func (s *State) takeFromShelf(now time.Time) {
-	if s.shelf == nil {
+// resumeDeferred stages the deferred version again: when its retry time has come
+// and no other version is staged, or at once when a source appears that has not
+// failed yet.
+func (s *State) resumeDeferred(now time.Time) {
+	if s.deferred == nil {
 		return
 	}
-	shelved := contentOf(s.shelf.manifest)
-	_, fresh := s.best(now, func(known *source) bool { return known.claim == shelved && known.failures == 0 })
-	if !fresh && (s.staged != nil || now.Before(s.shelf.retryAt)) {
+	deferred := contentOf(s.deferred.manifest)
+	_, fresh := s.bestSource(now, func(src *source) bool { return src.claim == deferred && src.failures == 0 })
+	if !fresh && (s.staged != nil || now.Before(s.deferred.retryAt)) {
 		return
 	}
 	if s.staged != nil {
-		s.shelf.spare = s.staged.held
+		s.deferred.reusable = s.staged.held
 	}
-	s.staged, s.shelf = s.shelf, nil
+	s.staged, s.deferred = s.deferred, nil
 	s.staged.failures = 0
 }
