--- a/internal/membership/changes.go
+++ b/internal/membership/changes.go
@@ -1,29 +1,30 @@
 package membership
 
-// Change is a step of one VM from one state to another, for the audit trail. A
-// VM that is forgotten goes to Gone.
+// Change is a state transition of one VM, for the audit trail. A VM that is
+// forgotten changes to Gone.
 type Change struct {
 	VM   VM
 	From State
 	To   State
-	// Raised is set when this node raised its own incarnation, because peers
-	// held a higher one: from an earlier start when the clock stood ahead, or
-	// from another process that uses the same VM id.
+	// IncarnationRaised is set when this node raised its own incarnation,
+	// because peers held a higher one: from an earlier start while the clock
+	// was ahead, or from another process with the same VM id.
 	IncarnationRaised bool
 }
 
-// maxChanges bounds the changes kept for the trail between two takes.
-const maxChanges = 4096
+// maxPendingChanges bounds the changes kept between two calls of TakeChanges.
+const maxPendingChanges = 4096
 
-// note keeps a change of state; later words that change nothing are left out.
-func (t *Table) note(old, record Record) {
-	if old.State == record.State && old.Incarnation > 0 || len(t.changes) >= maxChanges {
+// addChange stores a state transition. Newer records with the same state are
+// left out.
+func (t *Table) addChange(old, record Record) {
+	if old.State == record.State && old.Incarnation > 0 || len(t.changes) >= maxPendingChanges {
 		return
 	}
 	t.changes = append(t.changes, Change{VM: record.VM, From: old.State, To: record.State})
 }
 
-// TakeChanges returns the changes since it was last called.
+// TakeChanges returns the changes since the last call.
 func (t *Table) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -7,153 +7,162 @@
 	"time"
 )
 
-// Probe is one question of the failure detector.
+// Probe is a probe of one VM by the failure detector.
 type Probe struct {
 	VM VM
-	// Record is what was known of the VM when the probe was made: an answer or
-	// a failure speaks of that word only.
+	// Record is the VM's record when the probe was started. The result of the
+	// probe applies to this record only.
 	Record Record
-	// Across is set for a probe of another domain: its failure tells of the
-	// path between the domains and makes no VM suspect.
+	// CrossDomain is set for probes of other domains, and for those of VMs that
+	// are unconfirmed or suspect. Their failure makes no VM suspect: between
+	// domains it may be due to the path.
 	CrossDomain bool
 }
 
-// neighbours are the VMs that this node talks to in normal times: a bounded
-// number, whatever the size of the fleet, so that connections stay few and warm.
+// neighbours are the VMs that this node normally communicates with. Their number
+// is bounded whatever the size of the fleet, so that the node keeps a few open
+// connections and reuses them.
 type neighbours struct {
-	// after are the successors on the hash rings, which this node probes.
-	after []*member
-	// around are the successors and predecessors, which it gossips with.
-	around []VM
-	// domains are the other failure domains, by name.
+	// successors are the next VMs on the hash rings, which this node probes.
+	successors []*member
+	// peers are the successors and predecessors, which it gossips with.
+	peers []VM
+	// domains are the other failure domains, sorted by name.
 	domains []*domain
 }
 
-// The pace of the detector, in ticks.
+// Intervals and limits of the failure detector. Intervals are in ticks, rates
+// per tick.
 const (
-	rejoinEvery   = 10
-	rejoinPeers   = 3
-	maxHurry      = 3
-	sweepEvery    = 10
-	minCrossRate  = 0.25
-	maxCrossRate  = 3
-	directHelpers = 2
-	// doubtTenths is the part of a domain's silence, in tenths, from which on
-	// each node tries the domain itself: early enough for three tries, late
-	// enough to be rare.
-	doubtTenths = 7
+	rejoinEvery    = 10
+	rejoinPeers    = 3
+	maxExtraProbes = 3
+	sweepEvery     = 10
+	minCrossRate   = 0.25
+	maxCrossRate   = 3
+	directHelpers  = 2
+	// ownProbeTenths is the part of the domain timeout, in tenths, without
+	// contact after which each node probes the domain itself: early enough for
+	// three probes, late enough to be rare.
+	ownProbeTenths = 7
 )
 
-// Tick moves time on. It judges silences and returns the probes that are due:
-// one of the own domain, more while probes fail, and few across, so that each
-// pair of domains is tried about once a heartbeat in all.
+// Tick updates the state for the current time and returns the probes that are
+// due: one in the own domain, more while probes fail, and a few in other
+// domains. All nodes together probe each pair of domains about once per
+// heartbeat.
 func (t *Table) Tick(now time.Time) []Probe {
 	t.ticks++
 	t.sweepMarks(now)
 	if t.ticks%sweepEvery == 0 {
 		t.Sweep(now)
 	}
-	t.judgeDomains(now)
+	t.updateReachability(now)
 	near := t.neighbours()
 	probes := t.probeRing(near)
-	probes = append(probes, t.probeAcross(now, near)...)
+	probes = append(probes, t.probeDomains(now, near)...)
 	return append(probes, t.rejoin(len(probes) == 0)...)
 }
 
-// SyncPeer returns the peer for an anti-entropy exchange when one is due. The
-// times are spread over the whole interval at random, or all nodes that started
-// together would exchange together.
+// SyncPeer returns the peer for an anti-entropy exchange if one is due. The
+// times are randomized over the interval, since otherwise all nodes that started
+// together would exchange at the same time.
 func (t *Table) SyncPeer(now time.Time) (VM, bool) {
 	if now.Before(t.nextSync) {
 		return VM{}, false
 	}
-	peers := t.gossipPeers(1 + len(t.neighbours().around))
+	peers := t.randomPeers(1 + len(t.neighbours().peers))
 	if len(peers) == 0 {
 		return VM{}, false
 	}
-	t.syncLater(now)
+	t.scheduleSync(now)
 	return peers[t.random.IntN(len(peers))], true
 }
 
-// FirstSync reports that a fresh or woken node has found a peer and should ask
-// it for all records. While young, it asks again those it meets as long as
-// VMs of the list are unheard: nodes of a herd restart find each other first and
-// would take themselves for the whole fleet.
+// InitialSyncDue reports whether the node should request all records from a peer
+// that it has just contacted. This is the case for the first contact after a
+// start or a pause. A recently started node repeats the request with further
+// peers while VMs of the platform's list are unconfirmed: nodes that restart
+// together contact each other first, and would otherwise consider themselves the
+// complete fleet.
 func (t *Table) InitialSyncDue(now time.Time) bool {
 	if t.synced {
-		island := t.young() && t.view != nil && t.view.Unconfirmed > 0
-		if !island || now.Sub(t.lastSync) < t.config.heartbeat() {
+		partial := t.recentlyStarted() && t.view != nil && t.view.Unconfirmed > 0
+		if !partial || now.Sub(t.lastSync) < t.config.heartbeat() {
 			return false
 		}
 	} else {
-		t.syncPace = 0
+		t.syncInterval = 0
 	}
 	t.synced = true
-	t.syncLater(now)
+	t.scheduleSync(now)
 	return true
 }
 
-// young reports whether the node has not yet come to its resting pace.
-func (t *Table) young() bool { return t.syncPace < syncEvery }
+// recentlyStarted reports whether the interval between exchanges has not yet
+// grown to its steady value.
+func (t *Table) recentlyStarted() bool { return t.syncInterval < syncEvery }
 
-// SyncFailed makes the next contact count as the first again.
+// SyncFailed makes the next contact count as the first one again, see
+// InitialSyncDue.
 func (t *Table) SyncFailed() { t.synced = false }
 
-func (t *Table) syncLater(now time.Time) {
-	t.syncPace = min(syncEvery, max(1, 2*t.syncPace))
-	mean := time.Duration(t.syncPace) * t.config.heartbeat()
+func (t *Table) scheduleSync(now time.Time) {
+	t.syncInterval = min(syncEvery, max(1, 2*t.syncInterval))
+	mean := time.Duration(t.syncInterval) * t.config.heartbeat()
 	t.lastSync = now
 	t.nextSync = now.Add(mean/2 + time.Duration(t.random.Int64N(int64(mean))))
 }
 
 func (t *Table) probeRing(near neighbours) []Probe {
 	var probes []Probe
-	for range min(1+t.hurry, len(near.after)) {
-		t.ringTurn++
-		m := near.after[t.ringTurn%len(near.after)]
+	for range min(1+t.extraProbes, len(near.successors)) {
+		t.probeIndex++
+		m := near.successors[t.probeIndex%len(near.successors)]
 		probes = append(probes, Probe{VM: m.record.VM, Record: m.record})
 	}
-	t.hurry = max(0, t.hurry-1)
+	t.extraProbes = max(0, t.extraProbes-1)
 	return probes
 }
 
-func (t *Table) probeAcross(now time.Time, near neighbours) []Probe {
+func (t *Table) probeDomains(now time.Time, near neighbours) []Probe {
 	if len(near.domains) == 0 {
 		return nil
 	}
 	own := t.domains[t.self.record.VM.FailureDomain]
 	rate := float64(len(near.domains)) / float64(len(own.members))
-	t.credit += math.Min(maxCrossRate, math.Max(minCrossRate, rate))
-	var tried []*domain
-	for ; t.credit >= 1; t.credit-- {
-		tried = append(tried, t.stalerDomain(near.domains))
+	t.crossCredit += math.Min(maxCrossRate, math.Max(minCrossRate, rate))
+	var probed []*domain
+	for ; t.crossCredit >= 1; t.crossCredit-- {
+		probed = append(probed, t.stalerDomain(near.domains))
 	}
-	tried = append(tried, t.doubtful(now, near.domains)...)
+	probed = append(probed, t.nearlyUnreachable(now, near.domains)...)
 	var probes []Probe
-	for _, d := range tried {
-		if vm, ok := t.contactOf(d); ok {
+	for _, d := range probed {
+		if vm, ok := t.domainPeer(d); ok {
 			probes = append(probes, Probe{VM: vm, Record: t.members[vm.ID].record, CrossDomain: true})
 		}
 	}
 	return probes
 }
 
-// doubtful returns the domains that are about to count as unreachable. The node
-// tries them itself, each tick: news of a contact needs some seconds through a
-// large domain, and late news must not pass for a silence.
-func (t *Table) doubtful(now time.Time, domains []*domain) []*domain {
-	var doubtful []*domain
+// nearlyUnreachable returns the domains that are about to count as unreachable.
+// The node probes them itself in each tick: reports of a contact take some
+// seconds to propagate through a large domain, and a late report must not be
+// mistaken for a lost domain.
+func (t *Table) nearlyUnreachable(now time.Time, domains []*domain) []*domain {
+	var found []*domain
 	for _, d := range domains {
-		if d.reachable && now.Sub(d.contact) > t.config.domainSilence()*doubtTenths/10 {
-			doubtful = append(doubtful, d)
+		if d.reachable && now.Sub(d.contact) > t.config.domainTimeout()*ownProbeTenths/10 {
+			found = append(found, d)
 		}
 	}
-	return doubtful
+	return found
 }
 
-// stalerDomain returns that of two random domains which was not heard from for
-// longer. Taking turns instead would let nodes that started together try the
-// same domain at the same tick, and none of them for many ticks.
+// stalerDomain chooses two domains at random and returns the one with the older
+// contact. With round-robin, nodes that started together would all probe the
+// same domain in the same tick, and then none would probe it for many ticks.
 func (t *Table) stalerDomain(domains []*domain) *domain {
 	one := domains[t.random.IntN(len(domains))]
 	two := domains[t.random.IntN(len(domains))]
@@ -163,11 +172,10 @@
 	return one
 }
 
-// rejoin tries VMs that are known and silent: those that only the list named,
-// and suspects. It is how a fresh node finds its first peers, and how parts of
-// the fleet that lost each other meet again.
-func (t *Table) rejoin(alone bool) []Probe {
-	eager := alone || t.isolated || t.young()
+// rejoin returns probes of VMs that are unconfirmed or suspect. A new node finds
+// its first peers this way, and the sides of a partition reconnect when it ends.
+func (t *Table) rejoin(noProbes bool) []Probe {
+	eager := noProbes || t.isolated || t.recentlyStarted()
 	if !eager && t.ticks%rejoinEvery != 0 {
 		return nil
 	}
@@ -175,26 +183,26 @@
 	if eager {
 		count = rejoinPeers
 	}
-	var silent []*member
+	var unresponsive []*member
 	for _, m := range t.ordered {
-		if m != t.self && (!m.heard() || m.record.State == Suspect) {
-			silent = append(silent, m)
+		if m != t.self && (!m.confirmed() || m.record.State == Suspect) {
+			unresponsive = append(unresponsive, m)
 		}
 	}
 	var probes []Probe
-	for range min(count, len(silent)) {
-		i := t.random.IntN(len(silent))
-		probes = append(probes, Probe{VM: silent[i].record.VM, Record: silent[i].record, CrossDomain: true})
-		silent = slices.Delete(silent, i, i+1)
+	for range min(count, len(unresponsive)) {
+		i := t.random.IntN(len(unresponsive))
+		probes = append(probes, Probe{VM: unresponsive[i].record.VM, Record: unresponsive[i].record, CrossDomain: true})
+		unresponsive = slices.Delete(unresponsive, i, i+1)
 	}
 	return probes
 }
 
-// ProbeFailed takes the failure of a direct probe. It returns the peers that
-// should try the VM in this node's place: the fault may lie with this node or
-// its path. One of them stands in another domain, where the domain's own faults
-// don't show.
-func (t *Table) ProbeFailed(now time.Time, probe Probe) (helpers []VM, judge bool) {
+// ProbeFailed processes the failure of a direct probe. It returns the helpers
+// for an indirect probe, which is needed because the fault may lie with this
+// node or its network path, and whether to run one. One helper is in another
+// domain, where faults of the own domain have no effect.
+func (t *Table) ProbeFailed(now time.Time, probe Probe) (helpers []VM, indirect bool) {
 	if probe.CrossDomain {
 		if d, ok := t.domains[probe.VM.FailureDomain]; ok {
 			d.failures++
@@ -202,66 +210,70 @@
 		return nil, false
 	}
 	m, ok := t.members[probe.VM.ID]
-	if !ok || m.record.State != Live || m.record != probe.Record || now.Before(t.trustAfter) {
+	if !ok || m.record.State != Live || m.record != probe.Record || now.Before(t.graceUntil) {
 		return nil, false
 	}
-	for _, i := range t.random.Perm(len(t.neighbours().around)) {
-		vm := t.near.around[i]
+	for _, i := range t.random.Perm(len(t.neighbours().peers)) {
+		vm := t.neighbourCache.peers[i]
 		if vm.ID != probe.VM.ID && len(helpers) < directHelpers {
 			helpers = append(helpers, vm)
 		}
 	}
-	if len(t.near.domains) > 0 {
-		d := t.near.domains[t.random.IntN(len(t.near.domains))]
-		if vm, ok := t.contactOf(d); ok {
+	if len(t.neighbourCache.domains) > 0 {
+		d := t.neighbourCache.domains[t.random.IntN(len(t.neighbourCache.domains))]
+		if vm, ok := t.domainPeer(d); ok {
 			helpers = append(helpers, vm)
 		}
 	}
 	return helpers, true
 }
 
-// Verdict is what the helpers of a failed probe found.
+// IndirectProbeResult is the combined result of the helpers of an indirect
+// probe.
 type IndirectProbeResult struct {
-	// Asked and Answered count the helpers.
+	// Asked and Answered are the numbers of helpers that were asked and that
+	// answered.
 	Asked, Answered int
-	// Reached is set when one of them reached the VM.
+	// Reached is set if one of them reached the VM.
 	Reached bool
 }
 
-// Judged makes a VM suspect that neither this node nor its helpers reached. If
-// no helper answered either, the fault is more likely here: a node that is cut
-// off would call the whole fleet suspect, one by one.
-func (t *Table) IndirectProbeDone(now time.Time, probe Probe, verdict IndirectProbeResult) bool {
+// IndirectProbeDone marks a VM as suspect if neither this node nor its helpers
+// reached it. If no helper answered either, the fault is more likely on this
+// node: an isolated node would otherwise mark the whole fleet as suspect, one VM
+// after another.
+func (t *Table) IndirectProbeDone(now time.Time, probe Probe, result IndirectProbeResult) bool {
 	m, ok := t.members[probe.VM.ID]
-	alone := verdict.Asked > 0 && verdict.Answered == 0
-	if !ok || verdict.Reached || alone || m.record != probe.Record || now.Before(t.trustAfter) {
+	cutOff := result.Asked > 0 && result.Answered == 0
+	if !ok || result.Reached || cutOff || m.record != probe.Record || now.Before(t.graceUntil) {
 		return false
 	}
-	// One death found makes more likely: a rack or switch takes many at once.
-	t.hurry = maxHurry
+	// One failed VM makes others more likely: a rack or switch failure affects
+	// many VMs at once.
+	t.extraProbes = maxExtraProbes
 	suspect := m.record
 	suspect.State = Suspect
 	return t.RecordReceived(now, suspect)
 }
 
-// neighbours returns the neighbours, found anew after a change.
+// neighbours returns the neighbours and recomputes them after a change.
 func (t *Table) neighbours() neighbours {
-	if t.moved {
-		t.near = t.findNeighbours()
-		t.moved = false
+	if t.neighboursStale {
+		t.neighbourCache = t.computeNeighbours()
+		t.neighboursStale = false
 	}
-	return t.near
+	return t.neighbourCache
 }
 
-func (t *Table) findNeighbours() neighbours {
+func (t *Table) computeNeighbours() neighbours {
 	var near neighbours
 	own := t.domains[t.self.record.VM.FailureDomain]
 	for ring := range rings {
-		probed, _ := t.besides(own, ring, t.probed)
-		near.probe(probed)
-		after, before := t.besides(own, ring, t.talks)
-		near.gossip(after)
-		near.gossip(before)
+		probed, _ := t.ringNeighbours(own, ring, t.shouldProbe)
+		near.addSuccessor(probed)
+		after, before := t.ringNeighbours(own, ring, t.contactable)
+		near.addPeer(after)
+		near.addPeer(before)
 	}
 	for _, d := range t.domains {
 		if d != own {
@@ -272,28 +284,29 @@
 	return near
 }
 
-func (n *neighbours) probe(m *member) {
-	if m != nil && !slices.Contains(n.after, m) {
-		n.after = append(n.after, m)
+func (n *neighbours) addSuccessor(m *member) {
+	if m != nil && !slices.Contains(n.successors, m) {
+		n.successors = append(n.successors, m)
 	}
 }
 
-func (n *neighbours) gossip(m *member) {
-	if m != nil && !slices.Contains(n.around, m.record.VM) {
-		n.around = append(n.around, m.record.VM)
+func (n *neighbours) addPeer(m *member) {
+	if m != nil && !slices.Contains(n.peers, m.record.VM) {
+		n.peers = append(n.peers, m.record.VM)
 	}
 }
 
-// probed reports whether a VM is watched for signs of life. A superseded one
-// still is: its successor answers in its place, which counts as no answer, and
-// so it is suspected in time.
-func (t *Table) probed(m *member) bool { return m.heard() && m.record.State == Live }
+// shouldProbe reports whether a VM is probed. A superseded VM still is: its
+// successor answers at its address, which counts as no answer, so that the VM
+// becomes suspect after some time.
+func (t *Table) shouldProbe(m *member) bool { return m.confirmed() && m.record.State == Live }
 
-// besides returns the VMs next to this one on a ring, of those that are wanted.
-func (t *Table) besides(d *domain, ring int, wanted func(*member) bool) (after, before *member) {
+// ringNeighbours returns the VMs after and before this one on a ring, among
+// those that match.
+func (t *Table) ringNeighbours(d *domain, ring int, match func(*member) bool) (after, before *member) {
 	origin := t.self.positions[ring]
 	for _, m := range d.members {
-		if m == t.self || !wanted(m) {
+		if m == t.self || !match(m) {
 			continue
 		}
 		if after == nil || m.positions[ring]-origin < after.positions[ring]-origin {
@@ -306,24 +319,24 @@
 	return after, before
 }
 
-// talks reports whether control messages to a VM make sense. One that departs
-// still finishes requests, for which it may have to choose targets: it must
-// hear who else departs.
-func (t *Table) talks(m *member) bool {
-	return m.heard() && (m.record.State == Live || m.record.State == Departing) && !t.superseded(m)
+// contactable reports whether to send control messages to a VM. A departing VM
+// still finishes requests and may have to choose targets for them, so it must be
+// informed of other departures.
+func (t *Table) contactable(m *member) bool {
+	return m.confirmed() && (m.record.State == Live || m.record.State == Departing) && !t.superseded(m)
 }
 
-// contactStep moves around a ring by a part of it that never comes back to the
-// same place: the golden ratio of its length.
-const contactStep = 0x9e3779b97f4a7c15
+// domainPeerStep is the golden ratio of the ring length. Multiples of it are
+// spread evenly over the ring and do not repeat.
+const domainPeerStep = 0x9e3779b97f4a7c15
 
-// contactOf returns the VM of another domain that this node talks to. It stays
-// the same while it answers; each failure moves on to another.
-func (t *Table) contactOf(d *domain) (VM, bool) {
-	origin := t.self.positions[0] + d.failures*contactStep
+// domainPeer returns the VM of another domain that this node communicates with.
+// It stays the same while it answers; each failure selects another.
+func (t *Table) domainPeer(d *domain) (VM, bool) {
+	origin := t.self.positions[0] + d.failures*domainPeerStep
 	var best *member
 	for _, m := range d.members {
-		if !t.talks(m) {
+		if !t.contactable(m) {
 			continue
 		}
 		if best == nil || m.positions[0]-origin < best.positions[0]-origin {
--- a/internal/membership/domain.go
+++ b/internal/membership/domain.go
@@ -9,22 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// domain is what the table holds of one failure domain.
+// domain is the state of one failure domain in the table.
 type domain struct {
 	name    string
 	members []*member
-	// contact is when anyone of this node's own domain last heard directly
-	// from a VM of the domain.
+	// contact is the last time that any VM of this node's own domain received
+	// a message directly from a VM of the domain.
 	contact   time.Time
 	reachable bool
-	// failures counts probes across that failed since the last contact; it
-	// moves the probes on to other VMs of the domain.
+	// failures counts the cross-domain probes that failed since the last
+	// contact. Each failure moves the probes to another VM of the domain.
 	failures uint64
-	// sum is the XOR of the hashes of all records that digests cover.
+	// sum is the XOR of the hashes of all records included in digests.
 	sum uint64
 }
 
-func (t *Table) domain(now time.Time, name string) *domain {
+func (t *Table) ensureDomain(now time.Time, name string) *domain {
 	d, ok := t.domains[name]
 	if !ok {
 		d = &domain{name: name, contact: now, reachable: true}
@@ -33,9 +33,9 @@
 	return d
 }
 
-// dropEmpty forgets a failure domain without VMs. Its name would else stay in
-// every heartbeat.
-func (t *Table) dropEmpty(name string) {
+// dropEmptyDomain removes a failure domain without VMs. Otherwise its name would
+// stay in every heartbeat.
+func (t *Table) dropEmptyDomain(name string) {
 	if d, ok := t.domains[name]; ok && len(d.members) == 0 {
 		delete(t.domains, name)
 	}
@@ -43,7 +43,7 @@
 
 func (d *domain) add(m *member) {
 	d.members = append(d.members, m)
-	if m.heard() && !m.dormant {
+	if m.confirmed() && !m.dormant {
 		d.sum ^= m.record.hash()
 	}
 }
@@ -52,23 +52,24 @@
 	if i := slices.Index(d.members, m); i >= 0 {
 		d.members = slices.Delete(d.members, i, i+1)
 	}
-	if m.heard() && !m.dormant {
+	if m.confirmed() && !m.dormant {
 		d.sum ^= m.record.hash()
 	}
 }
 
-// hide makes a member dormant: its record leaves the digest.
-func (d *domain) hide(m *member) {
-	if m.heard() && !m.dormant {
+// makeDormant marks a member as dormant and removes its record from the digest.
+func (d *domain) makeDormant(m *member) {
+	if m.confirmed() && !m.dormant {
 		d.sum ^= m.record.hash()
 	}
 	m.dormant = true
 }
 
-// wake ends the dormancy of live members, when the domain was heard again.
-func (d *domain) wake() {
+// reactivate ends the dormancy of live members when the domain is reachable
+// again.
+func (d *domain) reactivate() {
 	for _, m := range d.members {
-		if m.dormant && m.heard() && m.record.State == Live {
+		if m.dormant && m.confirmed() && m.record.State == Live {
 			m.dormant = false
 			d.sum ^= m.record.hash()
 		}
@@ -87,38 +88,40 @@
 	return xxhash.Sum64(append(raw, byte(r.State)))
 }
 
-// Contact notes that a VM was heard directly. It reports whether that ended a
-// silence, of the VM's domain or of all: the VM should then be asked for what
-// was missed, since others may have departed meanwhile.
+// ContactMade records that a message was received directly from a VM. It reports
+// whether this ended the loss of contact with the VM's domain or with all peers.
+// In that case the VM should be asked for missed records, since others may have
+// departed in the meantime.
 func (t *Table) ContactMade(now time.Time, vm VM) bool {
 	if vm.ID == t.self.record.VM.ID {
 		return false
 	}
 	t.lastContact = now
-	d := t.domain(now, vm.FailureDomain)
+	d := t.ensureDomain(now, vm.FailureDomain)
 	d.failures = 0
 	returned := !d.reachable
-	t.contacted(d, now)
+	t.updateContact(d, now)
 	if t.isolated {
 		t.isolated = false
-		t.restart(now)
+		t.resetContacts(now)
 		returned = true
 	}
 	return returned
 }
 
-func (t *Table) contacted(d *domain, at time.Time) {
+func (t *Table) updateContact(d *domain, at time.Time) {
 	if at.After(d.contact) {
 		d.contact = at
 	}
 	if !d.reachable {
 		d.reachable = true
-		d.wake()
-		t.touch()
+		d.reactivate()
+		t.invalidate()
 	}
 }
 
-// Contacts returns how long ago this domain last heard from each other one.
+// Contacts returns the time since the last contact of this node's domain with
+// each other domain.
 func (t *Table) Contacts(now time.Time) []DomainContact {
 	contacts := make([]DomainContact, 0, len(t.domains))
 	for _, d := range t.domains {
@@ -130,73 +133,75 @@
 	return contacts
 }
 
-// hopAge is added to the age of each contact that a mate tells of, for the time
-// that the telling took. It lies above the time that a message takes within a
-// domain: with less, mates that tell each other of one contact in turn would
-// keep a lost domain reachable.
-const hopAge = 100 * time.Millisecond
+// relayDelay is added to the age of each contact that a VM of the same domain
+// reports, to account for the transmission time. It is larger than the
+// transmission time within a domain: with a smaller value, VMs that report the
+// same contact to each other in turn would keep a lost domain reachable.
+const relayDelay = 100 * time.Millisecond
 
-// ContactsHeard takes what a VM of the same failure domain knows of others.
+// ContactsReceived processes the contacts with other domains reported by a VM of
+// the same failure domain.
 func (t *Table) ContactsReceived(now time.Time, from VM, contacts []DomainContact) {
 	if from.FailureDomain != t.self.record.VM.FailureDomain {
 		return
 	}
 	for _, c := range contacts {
 		d, ok := t.domains[c.FailureDomain]
-		at := now.Add(-hopAge - time.Duration(c.AgeMillis)*time.Millisecond)
-		if ok && at.After(d.contact) && now.Sub(at) <= t.config.domainSilence() {
-			t.contacted(d, at)
+		at := now.Add(-relayDelay - time.Duration(c.AgeMillis)*time.Millisecond)
+		if ok && at.After(d.contact) && now.Sub(at) <= t.config.domainTimeout() {
+			t.updateContact(d, at)
 		}
 	}
 }
 
-// judgeDomains decides which domains can be reached. A node that hears nobody at
-// all is itself cut off, and its last good set is better than none: it judges
-// nobody.
-func (t *Table) judgeDomains(now time.Time) {
+// updateReachability determines which domains are reachable. A node without any
+// contact is itself isolated. It keeps its last state, since the last usable set
+// of targets is better than none.
+func (t *Table) updateReachability(now time.Time) {
 	if !t.isolated && len(t.members) > 1 && now.Sub(t.lastContact) > t.config.SuspectAfter {
 		t.isolated = true
-		t.touch()
+		t.invalidate()
 	}
-	if t.isolated || now.Before(t.trustAfter) {
+	if t.isolated || now.Before(t.graceUntil) {
 		return
 	}
 	for _, d := range t.domains {
-		reachable := d.name == t.self.record.VM.FailureDomain || now.Sub(d.contact) <= t.config.domainSilence()
+		reachable := d.name == t.self.record.VM.FailureDomain || now.Sub(d.contact) <= t.config.domainTimeout()
 		if reachable != d.reachable {
 			d.reachable = reachable
-			t.touch()
+			t.invalidate()
 		}
 	}
 }
 
-// restart forgets all silences: they were this node's own.
-func (t *Table) restart(now time.Time) {
+// resetContacts sets the last contact of all domains to now, because the missing
+// contact was caused by this node.
+func (t *Table) resetContacts(now time.Time) {
 	t.lastContact = now
-	t.trustAfter = now.Add(t.config.SuspectAfter)
+	t.graceUntil = now.Add(t.config.SuspectAfter)
 	for _, d := range t.domains {
 		d.contact = now
 		d.reachable = true
 	}
-	t.touch()
+	t.invalidate()
 }
 
-// Resume is called when the node finds that it was paused. All that it
-// measured as silence of others was its own.
+// Resume is called when the node detects that its process was paused. The time
+// without messages from others was caused by the pause.
 func (t *Table) Resume(now time.Time) {
 	t.isolated = false
 	t.synced = false
-	t.restart(now)
+	t.resetContacts(now)
 }
 
-// RefreshPeers returns a few neighbours to ask what was missed in a pause. More
-// than one, since some may have gone meanwhile.
-func (t *Table) RefreshPeers() []VM { return t.gossipPeers(gossipFanout) }
+// RefreshPeers returns the neighbours to ask for updates missed during a pause.
+// There are several, since some may have left in the meantime.
+func (t *Table) RefreshPeers() []VM { return t.randomPeers(gossipFanout) }
 
-// Isolated reports whether this node hears nobody.
+// Isolated reports whether this node has no contact with any peer.
 func (t *Table) Isolated() bool { return t.isolated }
 
-// Digest sums up what the table holds, one sum per failure domain.
+// Digest returns a checksum of the table's records per failure domain.
 func (t *Table) Digest() []DomainDigest {
 	digest := make([]DomainDigest, 0, len(t.domains))
 	for _, d := range t.domains {
@@ -208,8 +213,8 @@
 	return digest
 }
 
-// Differing returns this table's records of every domain in which it differs
-// from the digest of a peer, and the names of those domains.
+// DiffDigest compares the table with the digest of a peer. It returns the
+// domains that differ and this table's records of them.
 func (t *Table) DiffDigest(digest []DomainDigest) (domains []string, records []Record) {
 	theirs := make(map[string]uint64, len(digest))
 	for _, d := range digest {
@@ -228,7 +233,7 @@
 	return domains, t.RecordsOf(domains)
 }
 
-// RecordsOf returns the records of failure domains that digests cover.
+// RecordsOf returns the records of failure domains that are included in digests.
 func (t *Table) RecordsOf(domains []string) []Record {
 	var records []Record
 	for _, name := range domains {
@@ -237,7 +242,7 @@
 			continue
 		}
 		for _, m := range d.members {
-			if m.heard() && !m.dormant {
+			if m.confirmed() && !m.dormant {
 				records = append(records, m.record)
 			}
 		}
@@ -245,8 +250,8 @@
 	return records
 }
 
-// Newer returns those of this table's records in the domains that beat what a
-// peer sent, so that the peer can be told.
+// NewerRecords returns this table's records of the domains that are newer than
+// the ones sent by a peer, or missing from them, to be sent to that peer.
 func (t *Table) NewerRecords(domains []string, sent []Record) []Record {
 	theirs := make(map[string]*Record, len(sent))
 	for i := range sent {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Bounds of gossip. Each piece of news leaves a node roundsPerRecord times
-// gossipFanout; what is lost on the way is mended by anti-entropy.
+// Limits of gossip. A node sends each update roundsPerRecord times gossipFanout
+// times. Lost updates are repaired by anti-entropy.
 const (
 	gossipFanout    = 3
 	roundsPerRecord = 4
-	// RecordsPerMessage bounds one message, and so what gossip costs a node in
-	// a herd restart: three such messages each gossip round.
+	// RecordsPerMessage bounds the size of a message, and so the cost of gossip
+	// for a node while the whole fleet restarts: three such messages per gossip
+	// round.
 	RecordsPerMessage = 24
 )
 
-// queued is one piece of news on its way out: a record, or a mark when mark is
-// set.
+// queued is an update to be sent: a record, or a mark if mark is set.
 type queued struct {
 	id     string
 	mark   bool
 	rounds int
 }
 
-// gossipQueue holds news by VM id; the record itself is read when it is sent,
-// so a later one takes an earlier one's place.
+// gossipQueue holds pending updates by VM id. The record itself is read when the
+// update is sent, so a later record replaces an earlier one.
 type gossipQueue struct{ items []queued }
 
 func (q *gossipQueue) push(record Record) {
 	urgent := record.State != Live
 	rounds := roundsPerRecord
 	if !urgent {
-		// In a herd restart each arrival is sent fewer times: all of them
-		// together would cost every node the fleet's records twelve times
-		// over, and the exchanges bring what is missed.
+		// While the whole fleet restarts, each live record is sent fewer times:
+		// otherwise every node would send the records of the whole fleet twelve
+		// times. Anti-entropy exchanges deliver the missed ones.
 		rounds = max(1, roundsPerRecord-len(q.items)/RecordsPerMessage)
 	}
 	q.insert(queued{id: record.VM.ID, rounds: rounds}, urgent)
@@ -43,8 +43,8 @@
 	q.insert(queued{id: id, mark: true, rounds: roundsPerRecord}, true)
 }
 
-// insert puts departures and suspicions in front: in a herd restart they must
-// not wait behind hundreds of arrivals.
+// insert puts departures and suspicions at the front of the queue: while the
+// whole fleet restarts they must not wait behind hundreds of live records.
 func (q *gossipQueue) insert(item queued, urgent bool) {
 	q.items = slices.DeleteFunc(q.items, func(old queued) bool { return old.id == item.id && old.mark == item.mark })
 	if urgent {
@@ -54,92 +54,92 @@
 	q.items = append(q.items, item)
 }
 
-// take returns the news of one round and keeps what has rounds left.
+// take returns the updates for one round and requeues those with rounds left.
 func (q *gossipQueue) take() []queued {
 	count := min(len(q.items), RecordsPerMessage)
 	taken := slices.Clone(q.items[:count])
-	rest := slices.Clone(q.items[count:])
+	remaining := slices.Clone(q.items[count:])
 	for _, item := range taken {
 		if item.rounds--; item.rounds > 0 {
-			rest = append(rest, item)
+			remaining = append(remaining, item)
 		}
 	}
-	q.items = rest
+	q.items = remaining
 	return taken
 }
 
-// News is what one gossip round sends, and to whom.
+// GossipRound is the content and the receivers of one gossip round.
 type GossipRound struct {
 	To      []VM
 	Records []Record
 	Marks   []DepartureMark
 }
 
-// Pending reports whether there is news to send.
+// GossipPending reports whether there are updates and peers to send them to.
 func (t *Table) GossipPending() bool {
 	if len(t.queue.items) == 0 {
 		return false
 	}
 	near := t.neighbours()
-	return len(near.around)+len(near.domains) > 0
+	return len(near.peers)+len(near.domains) > 0
 }
 
-// Gossip returns the next round: most of its receivers stand in the node's own
-// domain, since bytes between regions are paid for.
+// Gossip returns the next round. Most of its receivers are in the node's own
+// domain, since traffic between regions has a cost.
 func (t *Table) Gossip(now time.Time) GossipRound {
-	news := GossipRound{To: t.gossipPeers(gossipFanout)}
-	if len(news.To) == 0 {
-		return news
+	round := GossipRound{To: t.randomPeers(gossipFanout)}
+	if len(round.To) == 0 {
+		return round
 	}
-	t.fill(now, &news)
-	return news
+	t.fillRound(now, &round)
+	return round
 }
 
-// Farewell returns a round of the node's own record to all its neighbours, for
-// a planned stop: one more hop then reaches everyone.
+// DepartureGossip returns a round that sends the node's own record to all its
+// neighbours, for a planned stop. One further hop then reaches all nodes.
 func (t *Table) DepartureGossip(now time.Time) GossipRound {
 	near := t.neighbours()
-	to := slices.Clone(near.around)
+	to := slices.Clone(near.peers)
 	for _, d := range near.domains {
-		if vm, ok := t.contactOf(d); ok {
+		if vm, ok := t.domainPeer(d); ok {
 			to = append(to, vm)
 		}
 	}
 	return GossipRound{To: to, Records: []Record{t.self.record}}
 }
 
-func (t *Table) fill(now time.Time, news *GossipRound) {
+func (t *Table) fillRound(now time.Time, round *GossipRound) {
 	for _, item := range t.queue.take() {
 		m, ok := t.members[item.id]
-		if !ok || !m.heard() {
+		if !ok || !m.confirmed() {
 			continue
 		}
 		if !item.mark {
-			news.Records = append(news.Records, m.record)
+			round.Records = append(round.Records, m.record)
 			continue
 		}
-		if left := m.markedUntil.Sub(now); m.isMarked && left > 0 {
-			news.Marks = append(news.Marks, DepartureMark{ID: item.id, Incarnation: m.marked, RemainingMillis: uint32(left.Milliseconds())})
+		if remaining := m.markedUntil.Sub(now); m.isMarked && remaining > 0 {
+			round.Marks = append(round.Marks, DepartureMark{ID: item.id, Incarnation: m.markedIncarnation, RemainingMillis: uint32(remaining.Milliseconds())})
 		}
 	}
 }
 
-// gossipPeers picks random neighbours, at most one of them of another domain
-// while the own domain has enough.
-func (t *Table) gossipPeers(count int) []VM {
+// randomPeers returns random neighbours. At most one of them is in another
+// domain.
+func (t *Table) randomPeers(count int) []VM {
 	near := t.neighbours()
 	var picked []VM
 	if len(near.domains) > 0 {
 		d := near.domains[t.random.IntN(len(near.domains))]
-		if vm, ok := t.contactOf(d); ok {
+		if vm, ok := t.domainPeer(d); ok {
 			picked = append(picked, vm)
 		}
 	}
-	for _, i := range t.random.Perm(len(near.around)) {
+	for _, i := range t.random.Perm(len(near.peers)) {
 		if len(picked) >= count {
 			break
 		}
-		picked = append(picked, near.around[i])
+		picked = append(picked, near.peers[i])
 	}
 	return picked
 }
--- a/internal/membership/marks.go
+++ b/internal/membership/marks.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Listed takes the platform's list. The list lags, so it introduces VMs, which
-// get no work before they were heard, and marks departures; it never says that a
-// VM is alive.
+// ListReceived processes the platform's VM list. The list lags behind, so it is
+// used only to add VMs, which get no work until they are confirmed, and to mark
+// departures. It is never evidence that a VM is alive.
 func (t *Table) ListReceived(now time.Time, list []Record) {
-	t.listRead = now
+	t.lastListRead = now
 	for _, record := range list {
 		if record.VM.ID == "" {
 			continue
 		}
-		m := t.introduce(now, record.VM)
+		m := t.addListed(now, record.VM)
 		m.listed, m.unlisted = now, time.Time{}
 		if record.State == Departing {
-			t.markByList(now, m)
+			t.markListed(now, m)
 		} else if !m.isMarked {
-			m.marked = 0
+			m.markedIncarnation = 0
 		}
 	}
 	for _, m := range t.ordered {
@@ -26,64 +26,64 @@
 	}
 }
 
-// introduce returns the member for a listed VM. Until the VM spoke for itself,
-// the list says where it is.
-func (t *Table) introduce(now time.Time, vm VM) *member {
+// addListed returns the member for a listed VM and adds it if it is unknown.
+// Until the VM is confirmed, its addresses are taken from the list.
+func (t *Table) addListed(now time.Time, vm VM) *member {
 	m, ok := t.members[vm.ID]
 	if !ok {
 		return t.add(now, Record{VM: vm, State: Live})
 	}
-	if !m.heard() && m.record.VM != vm {
+	if !m.confirmed() && m.record.VM != vm {
 		t.replace(now, m, Record{VM: vm, State: Live})
 	}
 	return m
 }
 
-// markByList marks the incarnation that is known. A VM that restarted under a
-// list that still shows the departure of its predecessor is not marked anew,
-// also when the old mark has run out between two readings.
-func (t *Table) markByList(now time.Time, m *member) {
-	switch left := m.markedUntil.Sub(now); {
-	case m.marked == 0 || -left > markMemory:
-		t.mark(now, m, m.record.Incarnation, markHold)
-	case left < markHold/2:
-		t.mark(now, m, m.marked, markHold)
+// markListed marks the known incarnation as departing. A VM that has restarted
+// while the list still shows the departure of its previous process is not marked
+// again, even if the old mark expired between two reads of the list.
+func (t *Table) markListed(now time.Time, m *member) {
+	switch remaining := m.markedUntil.Sub(now); {
+	case m.markedIncarnation == 0 || -remaining > markRetention:
+		t.mark(now, m, m.record.Incarnation, markTTL)
+	case remaining < markTTL/2:
+		t.mark(now, m, m.markedIncarnation, markTTL)
 	}
 }
 
-// Marked takes marks that peers read from the list.
+// MarksReceived processes marks that peers derived from the list.
 func (t *Table) MarksReceived(now time.Time, marks []DepartureMark) {
 	for _, mark := range marks {
 		m, ok := t.members[mark.ID]
-		left := min(time.Duration(mark.RemainingMillis)*time.Millisecond, markHold)
+		remaining := min(time.Duration(mark.RemainingMillis)*time.Millisecond, markTTL)
 		if !ok || mark.Incarnation == 0 {
 			continue
 		}
-		if m.isMarked && mark.Incarnation <= m.marked && !m.markedUntil.Add(markHold/4).Before(now.Add(left)) {
+		if m.isMarked && mark.Incarnation <= m.markedIncarnation && !m.markedUntil.Add(markTTL/4).Before(now.Add(remaining)) {
 			continue
 		}
-		t.mark(now, m, max(mark.Incarnation, m.marked), left)
+		t.mark(now, m, max(mark.Incarnation, m.markedIncarnation), remaining)
 	}
 }
 
-func (t *Table) mark(now time.Time, m *member, incarnation uint64, hold time.Duration) {
+func (t *Table) mark(now time.Time, m *member, incarnation uint64, ttl time.Duration) {
 	m.isMarked = true
-	m.marked = incarnation
-	m.markedUntil = now.Add(hold)
+	m.markedIncarnation = incarnation
+	m.markedUntil = now.Add(ttl)
 	t.marks[m.record.VM.ID] = m
 	if incarnation > 0 {
 		t.queue.pushMark(m.record.VM.ID)
 	}
-	t.touch()
+	t.invalidate()
 }
 
-// sweepMarks ends marks that were not repeated.
+// sweepMarks removes marks that have expired because they were not repeated.
 func (t *Table) sweepMarks(now time.Time) {
 	for id, m := range t.marks {
 		if !now.Before(m.markedUntil) {
 			m.isMarked = false
 			delete(t.marks, id)
-			t.touch()
+			t.invalidate()
 		}
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,31 +1,33 @@
-// Package membership decides which VMs are live, departing, suspect or gone,
-// from sources that lag and disagree: the platform's list, gossip between peers
-// and what this node observed itself. The package is pure.
+// Package membership determines which VMs are live, departing, suspect or gone.
+// Its inputs may be outdated and contradict each other: the platform's list,
+// gossip between peers and this node's own observations. The package does no
+// I/O.
 //
-// Failure detection has two levels. VMs of one failure domain probe each other
-// and are the only ones to call each other suspect; those records spread to all
-// by gossip and anti-entropy. Between domains only the domain as a whole is
-// judged, from the contacts that its own members share: a partition then leaves
-// no false records behind that a healed fleet would have to refute one by one.
+// Failure detection has two levels. VMs of one failure domain probe each other,
+// and only they mark each other as suspect; these records propagate to all nodes
+// by gossip and anti-entropy. Other domains are monitored only as a whole, from
+// the contacts that the members of a node's own domain share. A partition
+// therefore leaves no false records that would have to be refuted one by one
+// after it ends.
 package membership
 
 import "time"
 
-// Config holds the times that membership works with.
+// Config holds the intervals and timeouts of membership.
 type Config struct {
-	// Heartbeat is the time between two ticks of the failure detector; zero
+	// Heartbeat is the interval between two ticks of the failure detector. Zero
 	// means one second.
 	Heartbeat time.Duration
-	// SuspectAfter is the silence of all peers after which a node takes itself
-	// for isolated. Twice that silence of one failure domain makes the domain
-	// unreachable.
+	// SuspectAfter is the time without contact to any peer after which a node
+	// considers itself isolated. A failure domain is unreachable after twice
+	// this time without contact.
 	SuspectAfter time.Duration
-	// ForgetAfter is the silence after which a VM is dropped that the
-	// platform's list does not name either.
+	// ForgetAfter is the time out of service after which a VM is removed if the
+	// platform's list does not name it either.
 	ForgetAfter time.Duration
 }
 
-// DefaultConfig suits fleets of up to a few thousand VMs.
+// DefaultConfig returns a Config for fleets of up to a few thousand VMs.
 func DefaultConfig() Config {
 	return Config{Heartbeat: time.Second, SuspectAfter: 5 * time.Second, ForgetAfter: 10 * time.Minute}
 }
@@ -37,25 +39,25 @@
 	return c.Heartbeat
 }
 
-// domainSilence is how long no contact with a domain makes it unreachable. News
-// of a contact takes a few heartbeats through a domain of a hundred VMs, which
-// must not pass for silence.
-func (c Config) domainSilence() time.Duration { return 2 * c.SuspectAfter }
+// domainTimeout is the time without contact after which a domain is unreachable.
+// Reports of a contact take a few heartbeats to propagate through a domain of a
+// hundred VMs; this delay must not be mistaken for a lost domain.
+func (c Config) domainTimeout() time.Duration { return 2 * c.SuspectAfter }
 
-// markHold is how long a mark of the platform's list holds without being
+// markTTL is how long a mark from the platform's list is valid without being
 // repeated. Each domain reads the list every few seconds.
-const markHold = 30 * time.Second
+const markTTL = 30 * time.Second
 
-// markMemory is how long after its end a mark still counts as the same one when
-// the list shows it again: longer than the list lags.
-const markMemory = 10 * time.Minute
+// markRetention is how long after its expiry a mark still counts as the same one
+// if the list shows the departure again. It is longer than the lag of the list.
+const markRetention = 10 * time.Minute
 
 // syncEvery is the mean time between two anti-entropy exchanges, in heartbeats.
-// A fresh or woken node begins with one heartbeat and doubles it: its first
-// peers may be as fresh as itself.
+// After a start or a pause a node begins with one heartbeat and doubles the
+// interval, because its first peers may have incomplete tables too.
 const syncEvery = 10
 
-// rings is how many hash rings join the VMs of a domain. Each VM is probed by
-// its predecessor on each ring, so it has that many observers, no more and no
-// less; the union of a few random rings also spreads gossip in few hops.
+// rings is the number of hash rings that connect the VMs of a domain. Each VM is
+// probed by its predecessor on each ring, so it has exactly this many observers.
+// Together, a few random rings also propagate gossip in few hops.
 const rings = 4
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -8,38 +8,39 @@
 	"github.com/pkg/errors"
 )
 
-// VM is one target VM and the process of the system on it. On the wire it is
-// an array: field names would double the bytes of a gossiped record.
+// VM identifies a target VM and the node process running on it. It is encoded as
+// an array on the wire: field names would double the size of a gossiped record.
 type VM struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	Region        string `json:"region"`
-	// Service is the service whose upstream runs on the VM.
+	// Service is the name of the service whose upstream runs on the VM.
 	Service string `json:"service"`
-	// PeerAddress and CallerAddress are IP:port.
+	// PeerAddress and CallerAddress have the form IP:port.
 	PeerAddress   string `json:"peer_address"`
 	CallerAddress string `json:"caller_address"`
 }
 
-// State is what a VM does with new work.
+// State is the state of a VM, which determines whether it takes new work.
 type State uint8
 
-// The states of a VM. Numbers are on the wire and never reused.
+// The states of a VM. The numbers are part of the wire format and never reused.
 const (
 	// Live VMs take new work.
 	Live State = iota + 1
-	// Departing VMs finish what they run. It is the VM's own word.
+	// Departing VMs finish their running requests. Only the VM itself sets
+	// this state.
 	Departing
-	// Gone VMs have finished and end.
+	// Gone VMs have finished all requests and are terminating.
 	Gone
-	// Suspect VMs gave no answer to a peer of their failure domain. The VM
-	// refutes it with a higher sequence.
+	// Suspect VMs did not answer a probe from a peer of their failure domain.
+	// The VM refutes this with a higher sequence.
 	Suspect
 )
 
-// String names the state in logs and status pages.
+// String returns the name of the state in logs and status pages.
 func (s State) String() string {
 	switch s {
 	case Live:
@@ -54,10 +55,10 @@
 	return "unknown"
 }
 
-// MarshalText renders the state for JSON.
+// MarshalText encodes the state for JSON.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the state from JSON.
+// UnmarshalText decodes the state from JSON.
 func (s *State) UnmarshalText(text []byte) error {
 	for _, state := range []State{Live, Departing, Gone, Suspect} {
 		if state.String() == string(text) {
@@ -68,8 +69,8 @@
 	return fmt.Errorf("membership state %q is unknown", text)
 }
 
-// departure orders the states that are never taken back within an incarnation.
-func (s State) departure() int {
+// departureRank orders the states that are final within an incarnation.
+func (s State) departureRank() int {
 	switch s {
 	case Departing:
 		return 1
@@ -79,59 +80,62 @@
 	return 0
 }
 
-// suspicion orders the states that a higher sequence takes back.
-func (s State) suspicion() int {
+// suspicionRank orders the states that a higher sequence refutes.
+func (s State) suspicionRank() int {
 	if s == Suspect {
 		return 1
 	}
 	return 0
 }
 
-// Record is what one process said of itself, or what is said of it.
+// Record is the state of one process, reported by the process itself or by its
+// peers.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
 
 	VM VM `json:"vm"`
-	// Incarnation rises with each start of the process on the VM. It is the
-	// start time in nanoseconds, since VMs keep nothing; a process that hears
-	// of a higher one of its own raises it. Zero marks a VM that only the
-	// platform's list has named.
+	// Incarnation increases with each start of the process on the VM. It is the
+	// start time in nanoseconds, because VMs have no persistent storage. A
+	// process that receives a record with a higher incarnation of itself raises
+	// its own. Zero marks an unconfirmed VM, which is known only from the
+	// platform's list.
 	Incarnation uint64 `json:"incarnation"`
-	// Sequence rises with each word of one incarnation about itself.
+	// Sequence increases with each record that an incarnation issues about
+	// itself.
 	Sequence uint64 `json:"sequence"`
 	State    State  `json:"state"`
 }
 
-// Bounds of what a peer may say. A record at the top of the range could not be
-// refuted: one more would wrap to zero and lose for ever.
+// Limits for records from peers. A record with the maximum value could not be
+// refuted: the next value would wrap to zero and never win.
 const (
 	maxSequence = 1 << 62
-	// maxClockAhead is how far an incarnation, which is a start time, may lie
-	// in the future.
+	// maxClockAhead is how far an incarnation, which is a start time, may be in
+	// the future.
 	maxClockAhead = 365 * 24 * time.Hour
 )
 
-// maxFieldBytes bounds each text of a VM.
+// maxFieldBytes bounds each text field of a VM.
 const maxFieldBytes = 256
 
-// ErrBadRecord says that a record from a peer makes no sense.
-var ErrBadRecord = errors.New("bad membership record")
+// ErrBadRecord is returned for an invalid record from a peer.
+var ErrBadRecord = errors.New("invalid membership record")
 
-// Check reports what is wrong with a record that a peer sent.
+// Check validates a record from a peer.
 func (r *Record) Check(now time.Time) error {
 	switch {
 	case r.VM.ID == "":
 		return errors.Wrap(ErrBadRecord, "no VM id")
 	case r.State < Live || r.State > Suspect:
-		return errors.Wrapf(ErrBadRecord, "state %d", r.State)
+		return errors.Wrapf(ErrBadRecord, "unknown state %d", r.State)
 	case r.Incarnation == 0 || r.Incarnation > uint64(now.Add(maxClockAhead).UnixNano()):
-		return errors.Wrapf(ErrBadRecord, "incarnation %d", r.Incarnation)
+		return errors.Wrapf(ErrBadRecord, "incarnation %d out of range", r.Incarnation)
 	case r.Sequence >= maxSequence:
-		return errors.Wrapf(ErrBadRecord, "sequence %d", r.Sequence)
+		return errors.Wrapf(ErrBadRecord, "sequence %d out of range", r.Sequence)
 	}
 	for _, field := range r.VM.fields() {
 		if len(field) > maxFieldBytes {
-			return errors.Wrap(ErrBadRecord, "text too long")
+			return errors.Wrap(ErrBadRecord, "text field too long")
 		}
 	}
 	return nil
@@ -141,26 +145,28 @@
 	return [6]string{v.ID, v.FailureDomain, v.Region, v.Service, v.PeerAddress, v.CallerAddress}
 }
 
-// compare orders records of one VM. The order is total, so tables that took
-// the same records in any order, crossed or doubled, hold the same ones:
+// compare orders records of one VM. The order is total, so tables that received
+// the same records hold the same state, also if records were reordered or
+// duplicated:
 //
-//   - a later start of the process wins over an earlier one;
-//   - within one, a departure wins over all that came before or after it,
-//     or a message that crossed it would bring the VM back into the choice;
-//   - then the later word wins, and at the same word a suspicion does, until
-//     the VM itself says a later one;
-//   - what is left differs by a mistake, and is settled by content.
+//   - a higher incarnation wins over a lower one;
+//   - within an incarnation, a departure wins over all earlier and later
+//     records, otherwise a message that was in flight at the same time would
+//     make the VM a target again;
+//   - then the higher sequence wins; with equal sequences a suspicion wins,
+//     until the VM itself issues a higher sequence;
+//   - remaining differences are due to errors and are ordered by content.
 func (r *Record) compare(other *Record) int {
 	if c := cmp.Compare(r.Incarnation, other.Incarnation); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(r.State.departure(), other.State.departure()); c != 0 {
+	if c := cmp.Compare(r.State.departureRank(), other.State.departureRank()); c != 0 {
 		return c
 	}
 	if c := cmp.Compare(r.Sequence, other.Sequence); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(r.State.suspicion(), other.State.suspicion()); c != 0 {
+	if c := cmp.Compare(r.State.suspicionRank(), other.State.suspicionRank()); c != 0 {
 		return c
 	}
 	own, others := r.VM.fields(), other.VM.fields()
@@ -175,21 +181,22 @@
 // newer reports whether r replaces old.
 func (r *Record) newer(old *Record) bool { return r.compare(old) > 0 }
 
-// Mark says that the platform's list names one incarnation of a VM as
-// departing. It is a hint with an end, and no part of the record: lists lag and
-// err, and a mark that was no longer repeated must lose its force.
+// DepartureMark states that the platform's list names one incarnation of a VM as
+// departing. It is a hint that expires, and not part of the record: lists may be
+// outdated or wrong, so a mark that is not repeated must become invalid.
 type DepartureMark struct {
 	_ struct{} `cbor:",toarray"`
 
 	ID          string
 	Incarnation uint64
-	// LeftMillis is how long the mark still holds, in milliseconds. What is
-	// left travels and not a time of day: the VMs' clocks need not agree.
+	// RemainingMillis is the remaining validity of the mark, in milliseconds. A
+	// duration is sent and not a time of day, because the clocks of the VMs may
+	// differ.
 	RemainingMillis uint32
 }
 
-// DomainContact says how long ago anyone of the sender's failure domain last
-// heard from another domain.
+// DomainContact is the time since the last contact of the sender's failure
+// domain with another domain.
 type DomainContact struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -197,7 +204,8 @@
 	AgeMillis     uint32
 }
 
-// DomainDigest sums up the records that a node holds of one failure domain.
+// DomainDigest is a checksum of the records that a node holds of one failure
+// domain.
 type DomainDigest struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -10,87 +10,93 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// member is what the table holds of one VM.
+// member is the state of one VM in the table.
 type member struct {
 	record Record
-	// positions are the VM's places on the hash rings.
+	// positions are the VM's positions on the hash rings.
 	positions [rings]uint64
-	// changed is when the record last changed, and listed when the platform's
-	// list last named the VM.
+	// changed is the time of the last change of the record. listed is the time
+	// when the platform's list last named the VM.
 	changed, listed time.Time
-	// unlisted is when the list was first read without the VM, zero while it
-	// names it.
+	// unlisted is the time when the list was first read without the VM. It is
+	// zero while the list names the VM.
 	unlisted time.Time
-	// marked is the incarnation that the platform's list called departing,
-	// until markedUntil; 0 while the VM was not heard.
-	marked      uint64
-	isMarked    bool
-	markedUntil time.Time
-	// dormant members are left out of digests and syncs: see Sweep.
+	// markedIncarnation is the incarnation that the platform's list names as
+	// departing, until markedUntil. It is 0 while the VM is unconfirmed.
+	markedIncarnation uint64
+	isMarked          bool
+	markedUntil       time.Time
+	// dormant members are left out of digests and syncs, see Sweep.
 	dormant bool
 }
 
-func (m *member) heard() bool { return m.record.Incarnation > 0 }
+// confirmed reports whether a record from a process on the VM was received.
+// Unconfirmed members are known only from the platform's list.
+func (m *member) confirmed() bool { return m.record.Incarnation > 0 }
 
-// departingByList reports whether the list's mark concerns the incarnation
-// that is known. A VM that restarted since is not held to the mark of its
-// predecessor.
-func (m *member) departingByList(now time.Time) bool {
-	return m.isMarked && now.Before(m.markedUntil) && (m.marked == 0 || m.record.Incarnation <= m.marked)
+// listedDeparting reports whether a valid mark of the list applies to the known
+// incarnation. The mark of a previous process does not apply to a VM that has
+// restarted since.
+func (m *member) listedDeparting(now time.Time) bool {
+	return m.isMarked && now.Before(m.markedUntil) && (m.markedIncarnation == 0 || m.record.Incarnation <= m.markedIncarnation)
 }
 
-// Table is the membership that one node knows. It is not safe for concurrent
-// use; the node's control loop owns it and publishes Views.
+// Table is the membership as known to one node. It is not safe for concurrent
+// use; only the node's control loop may call it, and it publishes Views.
 type Table struct {
 	config  Config
 	random  *rand.Rand
 	self    *member
 	members map[string]*member
-	// ordered are all members by VM id: views are built often in a herd
-	// restart, and sorting was most of their cost.
+	// ordered are all members sorted by VM id. Views are built often while the
+	// whole fleet restarts, and sorting was most of their cost.
 	ordered []*member
 	domains map[string]*domain
-	// addresses holds the newest incarnation at each peer address.
+	// addresses holds the member with the newest incarnation for each peer
+	// address.
 	addresses map[string]*member
 	marks     map[string]*member
 	queue     gossipQueue
 
-	// lastContact is when any peer was last heard directly.
+	// lastContact is when a message was last received directly from any peer.
 	lastContact time.Time
 	isolated    bool
-	// trustAfter is when the node may judge others again after a pause.
-	trustAfter time.Time
-	ticks      uint64
-	credit     float64
-	ringTurn   int
-	hurry      int
+	// graceUntil is the end of the grace period after a pause or an isolation,
+	// in which the node marks no VM as suspect and no domain as unreachable.
+	graceUntil  time.Time
+	ticks       uint64
+	crossCredit float64
+	probeIndex  int
+	extraProbes int
 
-	// listRead is when the platform's list was last read.
-	listRead  time.Time
-	lastRaise time.Time
-	lastSync  time.Time
-	nextSync  time.Time
-	synced    bool
-	// syncPace is the mean time between exchanges now, in heartbeats.
-	syncPace int
+	// lastListRead is when the platform's list was last read.
+	lastListRead time.Time
+	lastRaise    time.Time
+	lastSync     time.Time
+	nextSync     time.Time
+	synced       bool
+	// syncInterval is the current mean time between exchanges, in heartbeats.
+	syncInterval int
 
-	changes []Change
-	view    *View
-	near    neighbours
-	// dirty and moved say that the view and the neighbours are out of date.
-	dirty, moved bool
+	changes        []Change
+	view           *View
+	neighbourCache neighbours
+	// viewStale and neighboursStale are set when the cached view and the cached
+	// neighbours must be recomputed.
+	viewStale, neighboursStale bool
 }
 
-// NewTable returns a table that knows only the node itself.
+// NewTable returns a table that contains only the node itself.
 func NewTable(config Config, self Record, now time.Time, random *rand.Rand) *Table {
 	t := &Table{
-		config: config, random: random, lastContact: now, dirty: true, moved: true,
+		config: config, random: random, lastContact: now, viewStale: true, neighboursStale: true,
 		members: map[string]*member{}, domains: map[string]*domain{},
 		addresses: map[string]*member{}, marks: map[string]*member{},
 	}
-	// Nodes that started together would else all probe at the same ticks.
-	t.credit = random.Float64()
-	t.ringTurn = random.IntN(rings)
+	// Random initial values keep nodes that started together from all probing
+	// in the same ticks.
+	t.crossCredit = random.Float64()
+	t.probeIndex = random.IntN(rings)
 	t.self = t.add(now, self)
 	t.queue.push(self)
 	return t
@@ -99,10 +105,10 @@
 // Self returns the node's own record.
 func (t *Table) Self() Record { return t.self.record }
 
-// touch notes that the view and the neighbours have to be found anew.
-func (t *Table) touch() { t.dirty, t.moved = true, true }
+// invalidate marks the cached view and neighbours as stale.
+func (t *Table) invalidate() { t.viewStale, t.neighboursStale = true, true }
 
-// add takes in a VM that was not known.
+// add adds an unknown VM.
 func (t *Table) add(now time.Time, record Record) *member {
 	m := &member{record: record, changed: now}
 	for ring := range m.positions {
@@ -111,40 +117,40 @@
 	t.members[record.VM.ID] = m
 	i, _ := slices.BinarySearchFunc(t.ordered, record.VM.ID, byID)
 	t.ordered = slices.Insert(t.ordered, i, m)
-	t.domain(now, record.VM.FailureDomain).add(m)
-	t.claimAddress(m)
-	t.touch()
+	t.ensureDomain(now, record.VM.FailureDomain).add(m)
+	t.updateAddress(m)
+	t.invalidate()
 	return m
 }
 
 func byID(m *member, id string) int { return strings.Compare(m.record.VM.ID, id) }
 
-// replace gives a known VM a newer record.
+// replace updates a known VM with a newer record.
 func (t *Table) replace(now time.Time, m *member, record Record) {
 	old := m.record
-	t.domain(now, old.VM.FailureDomain).remove(m)
-	t.note(old, record)
+	t.ensureDomain(now, old.VM.FailureDomain).remove(m)
+	t.addChange(old, record)
 	m.record = record
 	m.changed = now
-	if m.isMarked && m.marked == 0 && m.heard() {
-		// The list named the VM before it was heard: the mark is about the
-		// first incarnation heard.
-		m.marked = record.Incarnation
+	if m.isMarked && m.markedIncarnation == 0 && m.confirmed() {
+		// The list named the VM before it was confirmed: the mark applies to
+		// the first incarnation received.
+		m.markedIncarnation = record.Incarnation
 		t.queue.pushMark(record.VM.ID)
 	}
 	m.dormant = false
-	t.domain(now, record.VM.FailureDomain).add(m)
-	t.dropEmpty(old.VM.FailureDomain)
-	t.claimAddress(m)
-	t.touch()
+	t.ensureDomain(now, record.VM.FailureDomain).add(m)
+	t.dropEmptyDomain(old.VM.FailureDomain)
+	t.updateAddress(m)
+	t.invalidate()
 }
 
-// claimAddress keeps the newest process at each address. A VM that was replaced
-// under another id at its address would else stay in the choice until it is
-// suspected, and its requests would reach its successor.
-func (t *Table) claimAddress(m *member) {
+// updateAddress keeps the newest process at each address. Otherwise a VM that
+// was replaced by one with another id at the same address would stay a target
+// until it becomes suspect, and its requests would reach its successor.
+func (t *Table) updateAddress(m *member) {
 	address := m.record.VM.PeerAddress
-	if address == "" || !m.heard() {
+	if address == "" || !m.confirmed() {
 		return
 	}
 	holder := t.addresses[address]
@@ -153,7 +159,7 @@
 	}
 }
 
-// startedAfter orders processes of different VMs; ids settle a tie.
+// startedAfter orders processes of different VMs by incarnation, then by id.
 func (m *member) startedAfter(other *member) bool {
 	if m.record.Incarnation != other.record.Incarnation {
 		return m.record.Incarnation > other.record.Incarnation
@@ -161,15 +167,16 @@
 	return m.record.VM.ID > other.record.VM.ID
 }
 
-// superseded reports whether a later process holds the VM's address.
+// superseded reports whether a newer process uses the VM's address.
 func (t *Table) superseded(m *member) bool {
 	holder := t.addresses[m.record.VM.PeerAddress]
 	return holder != nil && holder != m && holder.record.VM.PeerAddress == m.record.VM.PeerAddress
 }
 
-// Heard takes a record that gossip or the VM itself brought. It reports whether
-// the record was news, which is then passed on. A record about the node itself
-// that beats its own is refuted.
+// RecordReceived processes a record received by gossip or from the VM itself. It
+// reports whether the record was newer than the known one; if so, the record is
+// forwarded by gossip. A record about this node that is newer than its own is
+// refuted.
 func (t *Table) RecordReceived(now time.Time, record Record) bool {
 	if !t.merge(now, record) {
 		return false
@@ -180,14 +187,15 @@
 	return true
 }
 
-// Synced takes records of an anti-entropy exchange. They are old news to most,
-// so they are not passed on: a fresh node would send the whole fleet around.
-// Departures of VMs that were known are passed on: after a partition the first
-// node that asks across must tell its domain who left meanwhile.
+// SyncReceived processes the records of an anti-entropy exchange. Most nodes
+// have these already, so they are not forwarded: otherwise a new node would
+// gossip the records of the whole fleet. Departures of known VMs are forwarded:
+// after a partition, the first node that syncs with another domain must inform
+// its own domain of the VMs that left in the meantime.
 func (t *Table) SyncReceived(now time.Time, records []Record) {
 	for _, record := range records {
 		_, known := t.members[record.VM.ID]
-		if t.merge(now, record) && known && record.State.departure() > 0 {
+		if t.merge(now, record) && known && record.State.departureRank() > 0 {
 			t.queue.push(record)
 		}
 	}
@@ -200,7 +208,7 @@
 	m, ok := t.members[record.VM.ID]
 	switch {
 	case !ok:
-		t.note(Record{}, record)
+		t.addChange(Record{}, record)
 		t.add(now, record)
 	case !record.newer(&m.record):
 		return false
@@ -212,19 +220,21 @@
 	return true
 }
 
-// refute answers a record about this node that beats its own. Only the process
-// itself knows its state, and peers believe the later record: it must say a
-// later word. A suspicion is beaten by a higher sequence. A departure that this
-// process did not begin, or a higher incarnation (from a start when the clock
-// stood ahead of now), is beaten only by a higher incarnation; without that, a
-// VM whose clock stepped back would stay out of every choice.
+// refute replaces a record about this node that is newer than its own by a newer
+// record with its actual state. Only the process itself knows its state, but
+// peers accept the newest record. A suspicion is refuted by a higher sequence. A
+// departure that this process did not start, or a higher incarnation (from a
+// start while the clock was ahead of the current time), is refuted only by a
+// higher incarnation; without that, a VM whose clock stepped back would never be
+// chosen as a target again.
 //
-// Incarnations are raised at most once a heartbeat. Two processes with one VM id
-// by mistake raise them against each other; the fleet must not be flooded by it.
+// Incarnations are raised at most once per heartbeat. If two processes are
+// started with the same VM id by mistake, they raise their incarnations against
+// each other, which must not flood the fleet.
 func (t *Table) refute(now time.Time, claim Record) bool {
 	own := t.self.record
 	sameStart := claim.Incarnation == own.Incarnation && claim.Sequence+1 < maxSequence
-	if sameStart && claim.State.departure() <= own.State.departure() {
+	if sameStart && claim.State.departureRank() <= own.State.departureRank() {
 		own.Sequence = claim.Sequence + 1
 	} else {
 		if now.Sub(t.lastRaise) < t.config.heartbeat() {
@@ -240,7 +250,8 @@
 	return true
 }
 
-// Depart makes this node's own record say that it takes no new work.
+// Depart sets the state of this node's own record to a departure state, so that
+// it gets no new work.
 func (t *Table) Depart(now time.Time, state State) {
 	own := t.self.record
 	own.State = state
@@ -249,46 +260,47 @@
 	t.queue.push(own)
 }
 
-// Rebuttal returns the known record of a VM that beats what it said of itself,
-// so that it can be told and refute it.
-func (t *Table) NewerRecord(said Record) (Record, bool) {
-	m, ok := t.members[said.VM.ID]
-	if !ok || m == t.self || !m.record.newer(&said) {
+// NewerRecord returns the known record of a VM if it is newer than the VM's own
+// record, so that it can be sent to the VM, which refutes it.
+func (t *Table) NewerRecord(own Record) (Record, bool) {
+	m, ok := t.members[own.VM.ID]
+	if !ok || m == t.self || !m.record.newer(&own) {
 		return Record{}, false
 	}
 	return m.record, true
 }
 
-// Sweep drops VMs that have been out of service for long and that the list has
-// not named since. A departed VM that a lagging list still names is kept: once
-// forgotten it would be introduced anew as a VM without a past. Half way to
-// that, a record turns dormant and is no longer offered to peers, or two nodes
-// would for ever remind each other of what each in turn forgets.
+// Sweep removes VMs that have been out of service for ForgetAfter and that the
+// list has not named since. A departed VM that an outdated list still names is
+// kept: once removed, it would be added again without its departure. After half
+// of that time a record becomes dormant and is no longer sent to peers, otherwise
+// two nodes would forever restore records that the other one has removed.
 func (t *Table) Sweep(now time.Time) {
 	for id, m := range t.members {
 		if m == t.self {
 			continue
 		}
-		silent := t.outOfService(now, m)
-		if silent > t.config.ForgetAfter {
+		elapsed := t.outOfService(now, m)
+		if elapsed > t.config.ForgetAfter {
 			t.forget(now, id, m)
-		} else if silent > t.config.ForgetAfter/2 && !m.dormant {
-			t.domain(now, m.record.VM.FailureDomain).hide(m)
+		} else if elapsed > t.config.ForgetAfter/2 && !m.dormant {
+			t.ensureDomain(now, m.record.VM.FailureDomain).makeDormant(m)
 		}
 	}
 }
 
-// outOfService returns for how long a VM has been out of service and off the
-// list. VMs of a lost domain are nobody's suspects. They go only when one reading
-// of the list after another lacks them: the domain may be cut off for long, and
-// the platform down or stale, and all of them come back.
+// outOfService returns how long a VM has been out of service and not listed. VMs
+// of an unreachable domain are not marked as suspect. They are out of service
+// only while successive reads of the list lack them: the domain may be cut off
+// for a long time while the platform is down or stale, and all its VMs may come
+// back.
 func (t *Table) outOfService(now time.Time, m *member) time.Duration {
 	d := t.domains[m.record.VM.FailureDomain]
 	switch {
-	case m.record.State != Live || !m.heard():
+	case m.record.State != Live || !m.confirmed():
 		return now.Sub(later(m.changed, m.listed))
 	case !d.reachable && !m.unlisted.IsZero():
-		return t.listRead.Sub(later(d.contact, m.unlisted))
+		return t.lastListRead.Sub(later(d.contact, m.unlisted))
 	}
 	return 0
 }
@@ -301,13 +313,13 @@
 }
 
 func (t *Table) forget(now time.Time, id string, m *member) {
-	if m.heard() {
-		gone := m.record
-		gone.State = Gone
-		t.note(m.record, gone)
+	if m.confirmed() {
+		removed := m.record
+		removed.State = Gone
+		t.addChange(m.record, removed)
 	}
-	t.domain(now, m.record.VM.FailureDomain).remove(m)
-	t.dropEmpty(m.record.VM.FailureDomain)
+	t.ensureDomain(now, m.record.VM.FailureDomain).remove(m)
+	t.dropEmptyDomain(m.record.VM.FailureDomain)
 	delete(t.members, id)
 	delete(t.marks, id)
 	i, _ := slices.BinarySearchFunc(t.ordered, id, byID)
@@ -315,5 +327,5 @@
 	if t.addresses[m.record.VM.PeerAddress] == m {
 		delete(t.addresses, m.record.VM.PeerAddress)
 	}
-	t.touch()
+	t.invalidate()
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// View is an immutable picture of the table for requests to read.
+// View is an immutable snapshot of the table, read by requests.
 type View struct {
-	// Peers are all VMs that may be talked to, sorted by id, the node itself
-	// left out.
+	// Peers are all other VMs to which control messages may be sent, sorted by
+	// id.
 	Peers []VM
 	// Targets are the VMs that take new work, by service, sorted by id.
 	Targets map[string][]VM
-	// Records are those of all VMs that were heard, sorted by VM id.
+	// Records are the records of all confirmed VMs, sorted by VM id.
 	Records []Record
-	// Unheard counts VMs that only the platform's list has named.
+	// Unconfirmed is the number of VMs that are known only from the platform's
+	// list.
 	Unconfirmed int
-	// Unreachable are the failure domains that this one has no contact with.
+	// Unreachable are the failure domains without contact to this node's own.
 	Unreachable []string
-	// Isolated is set while the node hears nobody and keeps its last good set.
+	// Isolated is set while the node has no contact with any peer and keeps its
+	// last state.
 	Isolated bool
 }
 
-// Changed reports whether the next View will differ from the last.
-func (t *Table) Changed() bool { return t.dirty }
+// Changed reports whether the table has changed since the last call of View.
+func (t *Table) Changed() bool { return t.viewStale }
 
-// View returns the picture at now. It is built anew only after a change, so its
-// cost follows the number of changes and not of messages.
+// View returns a snapshot of the table. It is rebuilt only after a change, so
+// its cost depends on the number of changes and not on the number of messages.
 func (t *Table) View(now time.Time) *View {
-	if !t.dirty {
+	if !t.viewStale {
 		return t.view
 	}
 	view := &View{
@@ -40,28 +42,29 @@
 			view.Targets[service] = make([]VM, 0, len(vms)+1)
 		}
 	}
-	silent := map[string][]VM{}
+	fallback := map[string][]VM{}
 	for _, m := range t.ordered {
-		if !m.heard() {
+		if !m.confirmed() {
 			view.Unconfirmed++
 			continue
 		}
 		view.Records = append(view.Records, m.record)
 		reachable := t.domains[m.record.VM.FailureDomain].reachable
-		if m != t.self && reachable && t.talks(m) {
+		if m != t.self && reachable && t.contactable(m) {
 			view.Peers = append(view.Peers, m.record.VM)
 		}
 		if t.eligible(now, m) {
 			into := view.Targets
 			if m.record.State == Suspect || !reachable {
-				into = silent
+				into = fallback
 			}
 			into[m.record.VM.Service] = append(into[m.record.VM.Service], m.record.VM)
 		}
 	}
-	// A service whose every target fell silent keeps them: sending to them may
-	// fail, having none to send to must. Departures are no silence and stay out.
-	for service, vms := range silent {
+	// A service whose targets are all suspect or unreachable keeps them: requests
+	// to them may fail, but without any target every request fails. Departed VMs
+	// stay excluded.
+	for service, vms := range fallback {
 		if len(view.Targets[service]) == 0 {
 			view.Targets[service] = vms
 		}
@@ -72,14 +75,14 @@
 			view.Unreachable = append(view.Unreachable, d.name)
 		}
 	}
-	t.dirty = false
+	t.viewStale = false
 	t.view = view
 	return view
 }
 
-// eligible reports whether a VM takes new work as far as its own word and the
-// platform's list go.
+// eligible reports whether a VM takes new work according to its record and the
+// platform's list.
 func (t *Table) eligible(now time.Time, m *member) bool {
 	takes := m.record.State == Live || m.record.State == Suspect
-	return takes && !m.departingByList(now) && !t.superseded(m)
+	return takes && !m.listedDeparting(now) && !t.superseded(m)
 }
