--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -16,7 +16,7 @@
 	// CrossDomain is set for probes of other domains, and for those of VMs that
 	// are unconfirmed or suspect. Their failure makes no VM suspect: between
 	// domains it may be due to the path.
-	CrossDomain bool
+	NoSuspicion bool
 }
 
 // neighbours are the VMs that this node normally communicates with. Their number
@@ -140,7 +140,7 @@
 	var probes []Probe
 	for _, d := range probed {
 		if vm, ok := t.domainPeer(d); ok {
-			probes = append(probes, Probe{VM: vm, Record: t.members[vm.ID].record, CrossDomain: true})
+			probes = append(probes, Probe{VM: vm, Record: t.members[vm.ID].record, NoSuspicion: true})
 		}
 	}
 	return probes
@@ -192,7 +192,7 @@
 	var probes []Probe
 	for range min(count, len(unresponsive)) {
 		i := t.random.IntN(len(unresponsive))
-		probes = append(probes, Probe{VM: unresponsive[i].record.VM, Record: unresponsive[i].record, CrossDomain: true})
+		probes = append(probes, Probe{VM: unresponsive[i].record.VM, Record: unresponsive[i].record, NoSuspicion: true})
 		unresponsive = slices.Delete(unresponsive, i, i+1)
 	}
 	return probes
@@ -203,7 +203,7 @@
 // node or its network path, and whether to run one. One helper is in another
 // domain, where faults of the own domain have no effect.
 func (t *Table) ProbeFailed(now time.Time, probe Probe) (helpers []VM, indirect bool) {
-	if probe.CrossDomain {
+	if probe.NoSuspicion {
 		if d, ok := t.domains[probe.VM.FailureDomain]; ok {
 			d.failures++
 		}
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -66,7 +66,7 @@
 	var probes []membership.Probe
 	for _, address := range n.config.Seeds {
 		if address != n.config.Self.PeerAddress {
-			probes = append(probes, membership.Probe{VM: membership.VM{PeerAddress: address}, CrossDomain: true})
+			probes = append(probes, membership.Probe{VM: membership.VM{PeerAddress: address}, NoSuspicion: true})
 		}
 	}
 	return probes
