--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -13,9 +13,9 @@
 	// Record is the VM's record when the probe was started. The result of the
 	// probe applies to this record only.
 	Record Record
-	// CrossDomain is set for probes of other domains, and for those of VMs that
-	// are unconfirmed or suspect. Their failure makes no VM suspect: between
-	// domains it may be due to the path.
+	// NoSuspicion is set for probes whose failure makes no VM suspect: probes of
+	// other domains, where the path between the domains may be at fault, and
+	// probes of unconfirmed or suspect VMs.
 	NoSuspicion bool
 }
 
@@ -244,8 +244,8 @@
 // after another.
 func (t *Table) IndirectProbeDone(now time.Time, probe Probe, result IndirectProbeResult) bool {
 	m, ok := t.members[probe.VM.ID]
-	cutOff := result.Asked > 0 && result.Answered == 0
-	if !ok || result.Reached || cutOff || m.record != probe.Record || now.Before(t.graceUntil) {
+	noAnswers := result.Asked > 0 && result.Answered == 0
+	if !ok || result.Reached || noAnswers || m.record != probe.Record || now.Before(t.graceUntil) {
 		return false
 	}
 	// One failed VM makes others more likely: a rack or switch failure affects
