--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -167,10 +167,10 @@
 	peerAddress := func(host string) string { return net.JoinHostPort(host, strconv.Itoa(s.PeerPort)) }
 	c.follower = follow.New(follow.Config{
 		Self: peerAddress(s.IP), FailureDomain: s.FailureDomain, Region: s.Region, Regions: s.Regions,
-		PeerAddress:   func(target string) string { return peerAddress(follow.HostOf(target)) },
-		InForceWithin: inForceWithin(s),
-		FirstStart:    s.FirstStart,
-		Greet:         c.proxy.Greet,
+		PeerAddress:      func(target string) string { return peerAddress(follow.HostOf(target)) },
+		PropagationBound: inForceWithin(s),
+		FirstStart:       s.FirstStart,
+		Announce:         c.proxy.Greet,
 	}, platform.NewStore(s.StoreAddress, logger), feedws.NewClient(feedTransport(), c.crashes, c.proxy.CountSent), wallClock{}, logger, c.meter, c.takeView)
 	c.callers = callerhttp.NewServer(c.proxy, callerhttp.Limits{HeaderBytes: mostHeaderBytes, BodyBytes: mostBodyBytes})
 	c.peerSide = c.newPeerSide(peerAddress)
@@ -183,7 +183,7 @@
 		TargetAddress: s.TargetAddress, PeerPort: s.PeerPort,
 		RepeatRatio: s.RepeatRatio, RepeatFew: s.RepeatFew, RepeatWindow: s.RepeatWindow,
 		HalfBytes: options.halfBytes, LinkRate: s.LinkRate,
-		DrainWork: follow.DrainWork(inForceWithin(s)), Seed: uint64(time.Now().UnixNano()),
+		DrainWork: follow.DrainGrace(inForceWithin(s)), Seed: uint64(time.Now().UnixNano()),
 	}
 }
 
--- a/cmd/tamarackd/sidecar_listen.go
+++ b/cmd/tamarackd/sidecar_listen.go
@@ -19,7 +19,7 @@
 	e := echo.New()
 	e.HideBanner = true
 	e.GET(feedws.Path, echo.WrapHandler(feedws.NewHandler(c.follower, c.crashes, c.proxy.CountSent)))
-	hint := func(r *http.Request) { c.follower.Hint(peerAddress(follow.HostOf(r.RemoteAddr))) }
+	hint := func(r *http.Request) { c.follower.AddHint(peerAddress(follow.HostOf(r.RemoteAddr))) }
 	e.GET(proxy.PingPath, func(context echo.Context) error {
 		hint(context.Request())
 		return context.NoContent(http.StatusNoContent)
--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -32,7 +32,7 @@
 func (c *sidecar) takeView(view *mesh.View) {
 	c.meter.Set(port.MetricConfigVersion, "", float64(view.Version()))
 	picture := c.picture
-	if picture.Members != view.MembersChange() {
+	if picture.Members != view.MembersGeneration() {
 		picture = c.pictureOfMembers(view)
 	}
 	picture.Table = view.Table()
@@ -41,7 +41,7 @@
 }
 
 func (c *sidecar) pictureOfMembers(view *mesh.View) proxy.Picture {
-	picture := proxy.Picture{Services: view.Takers(), Own: view.At(c.settings.TargetAddress), Members: view.MembersChange()}
+	picture := proxy.Picture{Services: view.ReadyByService(), Own: view.MemberAt(c.settings.TargetAddress), Members: view.MembersGeneration()}
 	hosts := make(map[string]bool, len(view.Members()))
 	for _, member := range view.Members() {
 		hosts[follow.HostOf(member.Address)] = true
--- a/internal/adapter/feedws/feedws.go
+++ b/internal/adapter/feedws/feedws.go
@@ -47,7 +47,7 @@
 
 // Source hands out updates.
 type Source interface {
-	Serve(ctx context.Context, host string, held mesh.Held, send func(*mesh.Update) error) error
+	Serve(ctx context.Context, host string, held mesh.Checkpoint, send func(*mesh.Update) error) error
 }
 
 // NewHandler serves feeds of the source, and exchanges notices with who follows. Sent is
@@ -121,20 +121,20 @@
 	})
 }
 
-func encodeHeld(held mesh.Held) url.Values {
+func encodeHeld(held mesh.Checkpoint) url.Values {
 	return url.Values{
 		paramVersion:  {strconv.FormatUint(held.Version, 10)},
 		paramRevision: {strconv.FormatUint(held.Revision, 10)},
 	}
 }
 
-func decodeHeld(query url.Values) (mesh.Held, error) {
+func decodeHeld(query url.Values) (mesh.Checkpoint, error) {
 	version, err := strconv.ParseUint(query.Get(paramVersion), 10, 64)
 	if err != nil {
-		return mesh.Held{}, errors.Wrap(err, paramVersion)
+		return mesh.Checkpoint{}, errors.Wrap(err, paramVersion)
 	}
 	revision, err := strconv.ParseUint(query.Get(paramRevision), 10, 64)
-	return mesh.Held{Version: version, Revision: revision}, errors.Wrap(err, paramRevision)
+	return mesh.Checkpoint{Version: version, Revision: revision}, errors.Wrap(err, paramRevision)
 }
 
 func write(ctx context.Context, conn *websocket.Conn, raw []byte) error {
@@ -159,7 +159,7 @@
 }
 
 // Follow implements follow.Feed.
-func (c *Client) Follow(ctx context.Context, address string, held mesh.Held, take func(*mesh.Update) error) error {
+func (c *Client) Follow(ctx context.Context, address string, held mesh.Checkpoint, take func(*mesh.Update) error) error {
 	conn, err := c.open(ctx, address, held)
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 	}
 }
 
-func (c *Client) open(ctx context.Context, address string, held mesh.Held) (*websocket.Conn, error) {
+func (c *Client) open(ctx context.Context, address string, held mesh.Checkpoint) (*websocket.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	address = "ws://" + address + Path + "?" + encodeHeld(held).Encode()
--- a/internal/adapter/feedws/feedws_test.go
+++ b/internal/adapter/feedws/feedws_test.go
@@ -125,7 +125,7 @@
 // sourceOf hands out an update once and then nothing.
 type sourceOf struct{ update *mesh.Update }
 
-func (s sourceOf) Serve(ctx context.Context, _ string, _ mesh.Held, send func(*mesh.Update) error) error {
+func (s sourceOf) Serve(ctx context.Context, _ string, _ mesh.Checkpoint, send func(*mesh.Update) error) error {
 	if err := send(s.update); err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 	serveFeed(t, slowListener{listener}, sourceOf{update}, func(bytes int) { sent += bytes })
 	client := newClient()
 	begin := time.Now()
-	err = client.Follow(context.Background(), listener.Addr().String(), mesh.Held{}, func(got *mesh.Update) error {
+	err = client.Follow(context.Background(), listener.Addr().String(), mesh.Checkpoint{}, func(got *mesh.Update) error {
 		assert.Equal(t, len(got.Config.Changed), 2500)
 		return errTaken
 	})
@@ -176,7 +176,7 @@
 	assert.NilError(t, err)
 	serveFeed(t, listener, sourceOf{&mesh.Update{}}, func(int) {})
 	taken := 0
-	err = newClient().Follow(context.Background(), listener.Addr().String(), mesh.Held{}, func(*mesh.Update) error {
+	err = newClient().Follow(context.Background(), listener.Addr().String(), mesh.Checkpoint{}, func(*mesh.Update) error {
 		taken++
 		return nil
 	})
--- a/internal/adapter/feedws/notices_test.go
+++ b/internal/adapter/feedws/notices_test.go
@@ -44,7 +44,7 @@
 	defer stop()
 	go func() {
 		client := NewClient(&http.Transport{}, below, sent)
-		_ = client.Follow(ctx, listener.Addr().String(), mesh.Held{}, func(*mesh.Update) error { return nil })
+		_ = client.Follow(ctx, listener.Addr().String(), mesh.Checkpoint{}, func(*mesh.Update) error { return nil })
 	}()
 	crashed(above, 1, 2)
 	crashed(below, 3)
@@ -72,7 +72,7 @@
 	for _, crashes := range followers {
 		client := NewClient(&http.Transport{}, crashes, func(int) {})
 		go func() {
-			_ = client.Follow(ctx, listener.Addr().String(), mesh.Held{}, func(*mesh.Update) error { return nil })
+			_ = client.Follow(ctx, listener.Addr().String(), mesh.Checkpoint{}, func(*mesh.Update) error { return nil })
 		}()
 	}
 	crashed(followers[0], 1, 2, 3)
@@ -100,7 +100,7 @@
 			serveFeed(t, listener, sourceOf{&mesh.Update{}}, func(int) {})
 			ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 			defer stop()
-			conn, err := newClient().open(ctx, listener.Addr().String(), mesh.Held{})
+			conn, err := newClient().open(ctx, listener.Addr().String(), mesh.Checkpoint{})
 			assert.NilError(t, err)
 			defer conn.CloseNow()
 			assert.NilError(t, conn.Write(ctx, websocket.MessageBinary, test.raw))
--- a/internal/follow/bench_test.go
+++ b/internal/follow/bench_test.go
@@ -18,7 +18,7 @@
 	f := New(Config{
 		Self: "10.0.0.0:9", FailureDomain: "a1", Region: "a", Regions: regions,
 		PeerAddress: func(target string) string { return HostOf(target) + ":9" },
-		Greet:       func(context.Context, string) {},
+		Announce:    func(context.Context, string) {},
 	}, nil, nil, wallClock{}, &log.Logger{Level: log.FatalLevel, Writer: &log.IOWriter{Writer: io.Discard}}, metrics.New(), func(*mesh.View) {})
 	update := &mesh.Update{Config: mesh.Diff(nil, &mesh.Config{Version: 1})}
 	domains := []string{"a1", "a2", "b1", "b2"}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -21,7 +21,7 @@
 
 // ErrHistoryGone says that the platform no longer has the changes after the
 // revision that was asked for.
-var ErrHistoryGone = errors.New("the platform has dropped this history")
+var ErrCompacted = errors.New("the platform has dropped this history")
 
 // Listing is everything that the platform holds, as of a revision or later.
 type Listing struct {
@@ -47,7 +47,7 @@
 	List(ctx context.Context) (*Listing, error)
 	// ListCheaply returns what the platform held at some moment of the last seconds, as
 	// of a revision. It costs a fraction of List.
-	ListCheaply(ctx context.Context) (*Listing, error)
+	ListStale(ctx context.Context) (*Listing, error)
 	// Watch returns the changes after a revision as soon as there is one, and
 	// none when the wait is over. It returns ErrHistoryGone if the platform
 	// can't tell.
@@ -61,7 +61,7 @@
 type Feed interface {
 	// Follow hands every update to take until the feed breaks or ctx
 	// ends. What is held already isn't sent again.
-	Follow(ctx context.Context, address string, held mesh.Held, take func(*mesh.Update) error) error
+	Follow(ctx context.Context, address string, held mesh.Checkpoint, take func(*mesh.Update) error) error
 }
 
 // Config is what a follower is told about its node.
@@ -75,13 +75,13 @@
 	PeerAddress func(target string) string
 	// InForceWithin is how soon a change must be in force everywhere; zero means
 	// usualInForce.
-	InForceWithin time.Duration
+	PropagationBound time.Duration
 	// FirstStart says that the whole fleet starts for the first time: nobody waits for it
 	// yet, and the platform lists little.
 	FirstStart bool
 	// Greet reaches the node at an address, which gets a hint by it; nil where
 	// nobody is greeted.
-	Greet func(ctx context.Context, address string)
+	Announce func(ctx context.Context, address string)
 }
 
 // Times of following.
@@ -159,7 +159,7 @@
 // under its lock after each change; it must not keep the view.
 func New(config Config, platform Platform, feed Feed, clock port.Clock, logger *log.Logger, meter port.Meter, onChange func(*mesh.View)) *Follower {
 	return &Follower{
-		config: config, pace: paceFor(config.InForceWithin), platform: platform, feed: feed, clock: clock, log: logger, meter: meter, onChange: onChange,
+		config: config, pace: paceFor(config.PropagationBound), platform: platform, feed: feed, clock: clock, log: logger, meter: meter, onChange: onChange,
 		view: mesh.NewView(), addresses: map[string]string{}, changed: make(chan struct{}), feeds: map[string]int{}, broken: map[string]bool{},
 	}
 }
@@ -177,7 +177,7 @@
 func (f *Follower) apply(update *mesh.Update, sent time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	before, version := f.view.Change(), f.view.Version()
+	before, version := f.view.Generation(), f.view.Version()
 	members := f.statesOf(update)
 	now := f.clock.Now()
 	age := f.view.Age(now)
@@ -186,7 +186,7 @@
 	if outage && !f.view.Outage(now) {
 		f.returned = now
 	}
-	changed := f.view.Change() != before
+	changed := f.view.Generation() != before
 	if changed {
 		f.logTransitions(members, age, now.Sub(sent))
 	}
@@ -248,7 +248,7 @@
 
 // Hint names a node that reached this one. A node that restarts while the
 // platform is away knows nobody; who sends it a request has a view.
-func (f *Follower) Hint(address string) {
+func (f *Follower) AddHint(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view.Table() != nil || slices.Contains(f.hints, address) {
@@ -273,18 +273,18 @@
 
 // Serve hands the neighbour on a host the updates that it lacks until ctx ends or
 // send fails.
-func (f *Follower) Serve(ctx context.Context, host string, held mesh.Held, send func(*mesh.Update) error) error {
+func (f *Follower) Serve(ctx context.Context, host string, held mesh.Checkpoint, send func(*mesh.Update) error) error {
 	f.countFeed(host, 1)
 	defer f.countFeed(host, -1)
 	began := f.clock.Now()
 	f.mu.Lock()
-	position := f.view.After(held)
+	position := f.view.PositionFor(held)
 	f.mu.Unlock()
 	for {
 		f.mu.Lock()
 		now := f.clock.Now()
 		update, next := f.view.Since(now, position)
-		update.Sent = now.Sub(began)
+		update.SentOffset = now.Sub(began)
 		changed := f.changed
 		f.mu.Unlock()
 		if err := send(update); err != nil {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -190,7 +190,7 @@
 		w.start("a1-0")
 		time.Sleep(2 * time.Second)
 		assert.DeepEqual(t, w.lagging(1), []string{"a1-0"})
-		w.nodes["a1-0"].Hint("b2-1")
+		w.nodes["a1-0"].AddHint("b2-1")
 		time.Sleep(time.Second)
 		assert.Equal(t, len(w.lagging(1)), 0)
 	})
--- a/internal/follow/greet.go
+++ b/internal/follow/greet.go
@@ -12,7 +12,7 @@
 // follow, which have a view, know its VM. Nodes that follow already are left alone, so
 // that a calm region greets nobody.
 func (f *Follower) greetOthers(ctx context.Context) {
-	if f.config.Greet == nil {
+	if f.config.Announce == nil {
 		return
 	}
 	for f.pause(ctx, greetInterval) {
@@ -20,7 +20,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			f.config.Greet(ctx, address)
+			f.config.Announce(ctx, address)
 		}
 	}
 }
@@ -28,10 +28,10 @@
 // greetIfLost greets a reader that has restarted and knows nothing, where this
 // node does: all readers of a region may restart at once.
 func (f *Follower) greetIfLost(ctx context.Context, address string, update *mesh.Update) {
-	if f.config.Greet == nil || update.Age >= 0 || f.Age() < 0 {
+	if f.config.Announce == nil || update.Age >= 0 || f.Age() < 0 {
 		return
 	}
-	f.config.Greet(ctx, address)
+	f.config.Announce(ctx, address)
 }
 
 // strangers are the nodes that should follow this one and don't.
--- a/internal/follow/late_test.go
+++ b/internal/follow/late_test.go
@@ -122,7 +122,7 @@
 						w.put(target)
 						drained := time.Now()
 						time.Sleep(within)
-						w.assertWorkEnds(t, "a1-0", drained.Add(within), DrainWork(within))
+						w.assertWorkEnds(t, "a1-0", drained.Add(within), DrainGrace(within))
 						target.State = mesh.Ready
 						w.put(target)
 					}
--- a/internal/follow/neighbours.go
+++ b/internal/follow/neighbours.go
@@ -169,11 +169,11 @@
 	lost := false
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		held := f.view.Held()
+		held := f.view.Checkpoint()
 		f.mu.Unlock()
 		feed := transit{opened: f.clock.Now()}
 		err := f.feed.Follow(ctx, address, held, func(update *mesh.Update) error {
-			sent := feed.sentAt(update.Sent, f.clock.Now())
+			sent := feed.sentAt(update.SentOffset, f.clock.Now())
 			if lost {
 				lost = false
 				f.setBroken(address, false)
--- a/internal/follow/order.go
+++ b/internal/follow/order.go
@@ -41,7 +41,7 @@
 // they have changed: made on each tick, it took most of an idle node's processor time in
 // a fleet of some hundred VMs. It must be called with the mutex held.
 func (f *Follower) currentOrder() *order {
-	members := f.view.MembersChange()
+	members := f.view.MembersGeneration()
 	if f.order != nil && f.order.members == members {
 		return f.order
 	}
--- a/internal/follow/pace.go
+++ b/internal/follow/pace.go
@@ -76,7 +76,7 @@
 
 // DrainWork is for how long after a target drains its own node may still give it work
 // that was on its way, where changes must be in force within a time.
-func DrainWork(inForceWithin time.Duration) time.Duration { return paceFor(inForceWithin).drainWork }
+func DrainGrace(inForceWithin time.Duration) time.Duration { return paceFor(inForceWithin).drainWork }
 
 // paceFor returns the times for a bound.
 func paceFor(within time.Duration) pace {
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -28,7 +28,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, ErrHistoryGone) {
+		if errors.Is(err, ErrCompacted) {
 			f.log.Warn().Uint64(logfield.Revision, f.revision).Msg("platform dropped its history; listing anew")
 			f.revision = 0
 			f.historyGone = true
@@ -54,7 +54,7 @@
 // takes longer.
 func (f *Follower) begin(ctx context.Context) {
 	for pause := beginFirst; ; pause *= 2 {
-		listing, err := f.platform.ListCheaply(ctx)
+		listing, err := f.platform.ListStale(ctx)
 		f.countRead("cheap list", err)
 		if err != nil {
 			f.log.Info().Err(err).Msg("no cheap listing")
@@ -204,7 +204,7 @@
 	update := &mesh.Update{Targets: listing.Targets, RTT: f.platform.RTT(), Revision: listing.Revision}
 	grace := f.removalGrace()
 	f.mu.Lock()
-	update.Removed = f.view.Listed(listing.Targets, listing.Revision, grace)
+	update.Removed = f.view.ImpliedRemovals(listing.Targets, listing.Revision, grace)
 	f.mu.Unlock()
 	f.addConfig(update, listing.Config)
 	f.revision = listing.Revision
@@ -239,7 +239,7 @@
 	now := f.clock.Now()
 	if err != nil {
 		f.mu.Lock()
-		f.view.NoteFailedRead(now)
+		f.view.RecordFailedRead(now)
 		f.mu.Unlock()
 		if f.lostAt.IsZero() {
 			f.lostAt = now
--- a/internal/follow/world_link_test.go
+++ b/internal/follow/world_link_test.go
@@ -63,7 +63,7 @@
 const cheapAge = 2 * time.Second
 
 // ListCheaply implements Platform.
-func (l *link) ListCheaply(ctx context.Context) (*Listing, error) {
+func (l *link) ListStale(ctx context.Context) (*Listing, error) {
 	if err := l.gate(ctx); err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 	for {
 		if after < w.dropped {
 			w.mu.Unlock()
-			return nil, ErrHistoryGone
+			return nil, ErrCompacted
 		}
 		changes := w.since(after)
 		changed := w.changed
@@ -153,7 +153,7 @@
 	return changes
 }
 
-func (l *link) Follow(ctx context.Context, address string, held mesh.Held, take func(*mesh.Update) error) error {
+func (l *link) Follow(ctx context.Context, address string, held mesh.Checkpoint, take func(*mesh.Update) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := l.world
--- a/internal/follow/world_test.go
+++ b/internal/follow/world_test.go
@@ -112,7 +112,7 @@
 	domain := w.targets[id].FailureDomain
 	w.mu.Unlock()
 	f := New(Config{
-		Self: id, FailureDomain: domain, Region: regions[domain], Regions: regions, PeerAddress: HostOf, Greet: w.greet(id), InForceWithin: w.within, FirstStart: w.firstStart,
+		Self: id, FailureDomain: domain, Region: regions[domain], Regions: regions, PeerAddress: HostOf, Announce: w.greet(id), PropagationBound: w.within, FirstStart: w.firstStart,
 	}, &link{world: w, node: id}, &link{world: w, node: id}, wallClock{},
 		&log.Logger{Level: log.FatalLevel, Writer: &log.IOWriter{Writer: io.Discard}}, metrics.New(), func(*mesh.View) {})
 	ctx, stop := context.WithCancel(context.Background())
@@ -181,7 +181,7 @@
 			time.Sleep(greeting)
 		}
 		if other != nil && !quiet && !w.isCut(from, address) {
-			other.Hint(from)
+			other.AddHint(from)
 		}
 	}
 }
--- a/internal/mesh/delta.go
+++ b/internal/mesh/delta.go
@@ -25,7 +25,7 @@
 }
 
 // ErrBase says that a delta builds on a version that this node doesn't hold.
-var ErrBase = errors.New("the delta builds on another version")
+var ErrUnknownBase = errors.New("the delta builds on another version")
 
 // Diff returns what turns one configuration into another; from may be nil. Of
 // several hundred routes a change alters a few, and the delta is some hundred
@@ -64,7 +64,7 @@
 		return config, nil
 	}
 	if base == nil || base.Version != d.Base {
-		return nil, ErrBase
+		return nil, ErrUnknownBase
 	}
 	changed := make(map[string]*Route, len(d.Changed))
 	for i := range d.Changed {
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -106,9 +106,9 @@
 	Slots int         `cbor:"n"`
 	State TargetState `cbor:"t"`
 	// Cold is for how long from now it is slower than usual.
-	Cold time.Duration `cbor:"c,omitempty"`
+	WarmupRemaining time.Duration `cbor:"c,omitempty"`
 	// Draining is for how long before now it was known to drain.
-	Draining time.Duration `cbor:"d,omitempty"`
+	DrainingFor time.Duration `cbor:"d,omitempty"`
 	// Started is when the target's process started, in Unix milliseconds by its
 	// own clock; 0 where it doesn't say. It orders the starts of one id.
 	Started int64 `cbor:"b,omitempty"`
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -96,7 +96,7 @@
 	view := NewView()
 	target := Target{ID: "i", Service: "s", State: Ready, Revision: 5}
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{target}}))
-	gone := view.Listed(nil, 9, SuspectGrace)
+	gone := view.ImpliedRemovals(nil, 9, SuspectGrace)
 	assert.Equal(t, len(gone), 1)
 	assert.NilError(t, view.Apply(start, &Update{Removed: gone}))
 	assert.Assert(t, view.Members()["i"].Usable(start.Add(time.Second)))
@@ -114,7 +114,7 @@
 	for _, view := range views {
 		assert.NilError(t, view.Apply(start, &Update{Targets: []Target{target}}))
 	}
-	assert.NilError(t, views[0].Apply(start, &Update{Removed: views[0].Listed(nil, 9, SuspectGrace)}))
+	assert.NilError(t, views[0].Apply(start, &Update{Removed: views[0].ImpliedRemovals(nil, 9, SuspectGrace)}))
 	now := start
 	for i, view := range views[1:] {
 		now = now.Add(SuspectGrace * 2 / 5)
@@ -171,7 +171,7 @@
 		{ID: "other", Service: "s", Address: "b:1", State: Ready, Revision: 6},
 		{ID: "reused", Service: "t", Address: "b:1", State: Draining, Revision: 9},
 	}}))
-	takers := view.Takers()
+	takers := view.ReadyByService()
 	assert.Equal(t, len(takers["s"]), 1)
 	assert.Equal(t, takers["s"][0].ID, "new")
 	assert.Equal(t, len(takers["t"]), 0)
@@ -189,10 +189,10 @@
 	} {
 		assert.NilError(t, view.Apply(start, &Update{Targets: []Target{entry}}))
 	}
-	assert.Equal(t, len(view.Takers()["s"]), 1)
+	assert.Equal(t, len(view.ReadyByService()["s"]), 1)
 	drains := Target{ID: "i", Service: "s", Address: "a:1", State: Draining, Started: 200, Revision: 10}
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{drains}}))
-	assert.Equal(t, len(view.Takers()["s"]), 0)
+	assert.Equal(t, len(view.ReadyByService()["s"]), 0)
 }
 
 // A target started anew under another id, and a late word of the one that was at
@@ -203,7 +203,7 @@
 		{ID: "old", Service: "s", Address: "a:1", State: Ready, Started: 100, Revision: 9},
 		{ID: "new", Service: "s", Address: "a:1", State: Ready, Started: 200, Revision: 8},
 	}}))
-	takers := view.Takers()["s"]
+	takers := view.ReadyByService()["s"]
 	assert.Equal(t, len(takers), 1)
 	assert.Equal(t, takers[0].ID, "new")
 }
@@ -225,7 +225,7 @@
 			view := NewView()
 			assert.NilError(t, view.Apply(start, &Update{Age: test.age}))
 			if test.failed > 0 {
-				view.NoteFailedRead(start.Add(-test.failed))
+				view.RecordFailedRead(start.Add(-test.failed))
 			}
 			assert.Equal(t, view.Outage(start), test.want)
 			update, _ := view.Since(start, Position{})
@@ -242,7 +242,7 @@
 	ready := Target{ID: "i", State: Ready, Revision: 5}
 	draining := Target{ID: "i", State: Draining, Revision: 6}
 	told := draining
-	told.Draining = time.Second
+	told.DrainingFor = time.Second
 	for _, test := range []struct {
 		desc   string
 		update []Target
@@ -273,18 +273,18 @@
 	assert.NilError(t, view.Apply(start, &Update{Removed: []Removal{{ID: "i", Revision: 7}}, Revision: 7}))
 	for _, test := range []struct {
 		desc             string
-		held             Held
+		held             Checkpoint
 		targets, removed int
 		config           bool
 	}{
-		{"holds nothing", Held{}, 2, 1, true},
-		{"holds an older revision", Held{Version: 1, Revision: 5}, 1, 1, false},
-		{"holds everything but the last change", Held{Version: 1, Revision: 6}, 0, 1, false},
-		{"holds everything", view.Held(), 0, 0, false},
-		{"holds more", Held{Version: 2, Revision: 9}, 0, 0, true},
+		{"holds nothing", Checkpoint{}, 2, 1, true},
+		{"holds an older revision", Checkpoint{Version: 1, Revision: 5}, 1, 1, false},
+		{"holds everything but the last change", Checkpoint{Version: 1, Revision: 6}, 0, 1, false},
+		{"holds everything", view.Checkpoint(), 0, 0, false},
+		{"holds more", Checkpoint{Version: 2, Revision: 9}, 0, 0, true},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			update, position := view.Since(start, view.After(test.held))
+			update, position := view.Since(start, view.PositionFor(test.held))
 			assert.Equal(t, len(update.Targets), test.targets)
 			assert.Equal(t, len(update.Removed), test.removed)
 			assert.Equal(t, update.Config != nil, test.config)
@@ -300,7 +300,7 @@
 func TestViewIsWholeOnlyAfterAllOfAnUpdate(t *testing.T) {
 	view := NewView()
 	err := view.Apply(start, &Update{Config: &ConfigDelta{Base: 4, Version: 5}, Revision: 9})
-	assert.ErrorIs(t, err, ErrBase)
+	assert.ErrorIs(t, err, ErrUnknownBase)
 	assert.Equal(t, view.Revision(), uint64(0))
 	assert.NilError(t, view.Apply(start, &Update{Revision: 9}))
 	assert.Equal(t, view.Revision(), uint64(9))
--- a/internal/mesh/parts.go
+++ b/internal/mesh/parts.go
@@ -78,7 +78,7 @@
 const keptAssemblies = 4
 
 // ErrParts says that the parts of a delta are too many, or don't make a whole.
-var ErrParts = errors.New("the delta's parts make no whole")
+var ErrInvalidParts = errors.New("the delta's parts make no whole")
 
 // assemble keeps a part of a delta and returns the whole one, or nil while parts are
 // missing. No more parts come after the last one, so that none may be missing then.
@@ -87,10 +87,10 @@
 		return part, nil
 	}
 	if part.Parts > maxParts {
-		return nil, ErrParts
+		return nil, ErrInvalidParts
 	}
 	if part.Base != 0 && v.held(part.Base) == nil {
-		return nil, ErrBase
+		return nil, ErrUnknownBase
 	}
 	at := v.assemblyOf(part)
 	a := v.assemblies[at]
@@ -98,7 +98,7 @@
 	if a.missing > 0 {
 		if last {
 			v.assemblies = slices.Delete(v.assemblies, at, at+1)
-			return nil, ErrParts
+			return nil, ErrInvalidParts
 		}
 		return nil, nil
 	}
@@ -106,7 +106,7 @@
 	if whole := a.whole(); whole != nil {
 		return whole, nil
 	}
-	return nil, ErrParts
+	return nil, ErrInvalidParts
 }
 
 // assemblyOf returns the place of a part's assembly, which it begins if there is none.
--- a/internal/mesh/parts_test.go
+++ b/internal/mesh/parts_test.go
@@ -37,7 +37,7 @@
 			i := random.IntN(len(feeds))
 			part := feeds[i][0]
 			feeds[i] = feeds[i][1:]
-			assert.NilError(t, view.Apply(start, &Update{Config: part, More: len(feeds[i]) > 0}))
+			assert.NilError(t, view.Apply(start, &Update{Config: part, ConfigPending: len(feeds[i]) > 0}))
 			if len(feeds[i]) == 0 {
 				feeds = slices.Delete(feeds, i, i+1)
 			}
@@ -63,9 +63,9 @@
 	assert.NilError(t, view.Apply(start, &Update{
 		Config: Diff(nil, config(1, manyRoutes(1400, "a")...)), Targets: []Target{{ID: "i", State: Ready, Revision: 3}}, Revision: 3,
 	}))
-	update, position := view.Since(start, view.After(Held{}))
+	update, position := view.Since(start, view.PositionFor(Checkpoint{}))
 	assert.Equal(t, len(update.Targets), 1)
-	assert.Assert(t, update.More && position.Pending())
+	assert.Assert(t, update.ConfigPending && position.Pending())
 	assert.Assert(t, len(update.Config.Changed) <= routesPerPart)
 	assert.NilError(t, view.Apply(start, &Update{Removed: []Removal{{ID: "i", Revision: 4}}, Revision: 4}))
 	update, position = view.Since(start, position)
@@ -74,7 +74,7 @@
 		update, position = view.Since(start, position)
 		assert.Equal(t, len(update.Removed), 0)
 	}
-	assert.Assert(t, !update.More)
+	assert.Assert(t, !update.ConfigPending)
 	assert.Equal(t, update.Config.Part+1, update.Config.Parts)
 }
 
@@ -83,7 +83,7 @@
 func TestViewIsNotCurrentBeforeTheLastPart(t *testing.T) {
 	from, to := NewView(), NewView()
 	assert.NilError(t, from.Apply(start, &Update{Config: Diff(nil, config(1, manyRoutes(300, "a")...)), Revision: 7}))
-	position := from.After(Held{})
+	position := from.PositionFor(Checkpoint{})
 	for {
 		update, next := from.Since(start, position)
 		assert.NilError(t, to.Apply(start, update))
@@ -95,29 +95,29 @@
 		assert.Equal(t, to.Revision(), uint64(0))
 	}
 	assert.Equal(t, to.Age(start), from.Age(start))
-	assert.Equal(t, to.Held(), from.Held())
+	assert.Equal(t, to.Checkpoint(), from.Checkpoint())
 }
 
 // Guards against a new version that waits for the rest of the one it replaces.
 func TestReplacedConfigurationIsNotSentToItsEnd(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Config: Diff(nil, config(1, manyRoutes(1400, "a")...))}))
-	_, position := view.Since(start, view.After(Held{}))
+	_, position := view.Since(start, view.PositionFor(Checkpoint{}))
 	assert.NilError(t, view.Apply(start, &Update{Config: Diff(nil, config(2, manyRoutes(3, "b")...))}))
 	update, position := view.Since(start, position)
 	assert.Equal(t, update.Config.Version, uint64(2))
-	assert.Assert(t, !position.Pending() && !update.More)
+	assert.Assert(t, !position.Pending() && !update.ConfigPending)
 }
 
 // Guards against a broken neighbour that makes this node hold memory for ever more parts.
 func TestTooManyPartsAreRefused(t *testing.T) {
 	view := NewView()
-	assert.ErrorIs(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 1, Parts: 1 << 30}}), ErrParts)
+	assert.ErrorIs(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 1, Parts: 1 << 30}}), ErrInvalidParts)
 	for version := range uint64(20) {
-		assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: version + 1, Parts: 2}, More: true}))
+		assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: version + 1, Parts: 2}, ConfigPending: true}))
 	}
 	assert.Equal(t, len(view.assemblies), keptAssemblies)
-	assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 20, Parts: 2, Part: -1}, More: true}))
+	assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 20, Parts: 2, Part: -1}, ConfigPending: true}))
 }
 
 // Guards against a configuration that lacks routes, for which callers get 404: two neighbours
@@ -137,9 +137,9 @@
 		one, other := Diff(first, listed).Split(), Diff(first, shuffled).Split()
 		for i := range one {
 			if part := one[i]; random.IntN(2) == 0 {
-				assert.NilError(t, view.Apply(start, &Update{Config: part, More: true}))
+				assert.NilError(t, view.Apply(start, &Update{Config: part, ConfigPending: true}))
 			} else {
-				assert.NilError(t, view.Apply(start, &Update{Config: other[i], More: true}))
+				assert.NilError(t, view.Apply(start, &Update{Config: other[i], ConfigPending: true}))
 			}
 		}
 		assert.Equal(t, view.Version(), uint64(2))
@@ -167,13 +167,13 @@
 			view := NewView()
 			var err error
 			for i, part := range test.sent {
-				err = view.Apply(start, &Update{Config: part, More: i+1 < len(test.sent), Revision: 5})
+				err = view.Apply(start, &Update{Config: part, ConfigPending: i+1 < len(test.sent), Revision: 5})
 			}
-			assert.ErrorIs(t, err, ErrParts)
+			assert.ErrorIs(t, err, ErrInvalidParts)
 			assert.Assert(t, view.Age(start) < 0 && view.Table() == nil)
 			assert.Equal(t, view.Revision(), uint64(0))
 			for i, part := range parts {
-				assert.NilError(t, view.Apply(start, &Update{Config: part, More: i < 2}))
+				assert.NilError(t, view.Apply(start, &Update{Config: part, ConfigPending: i < 2}))
 			}
 			assert.Equal(t, view.Version(), uint64(1))
 		})
--- a/internal/mesh/since.go
+++ b/internal/mesh/since.go
@@ -9,8 +9,8 @@
 // Position is how far a neighbour has been told: what it holds of the
 // configuration, and up to which change of this view.
 type Position struct {
-	Config *Config
-	Change uint64
+	Config     *Config
+	Generation uint64
 	// sending is the configuration of which so many parts were sent; nil for none.
 	sending *Config
 	parts   int
@@ -20,17 +20,17 @@
 }
 
 // Held is what a neighbour says that it holds when it opens a feed.
-type Held struct {
+type Checkpoint struct {
 	// Version is that of its configuration, Revision the platform's counter up to which
 	// it holds every change; zero where it holds none.
 	Version, Revision uint64
 }
 
 // Held returns what this view holds.
-func (v *View) Held() Held { return Held{Version: v.Version(), Revision: v.complete} }
+func (v *View) Checkpoint() Checkpoint { return Checkpoint{Version: v.Version(), Revision: v.complete} }
 
 // After returns the position of a neighbour that holds so much and was told nothing yet.
-func (v *View) After(held Held) Position {
+func (v *View) PositionFor(held Checkpoint) Position {
 	position := Position{Revision: held.Revision}
 	if v.table != nil && v.Version() == held.Version {
 		position.Config = v.table.Config
@@ -41,25 +41,25 @@
 // told reports whether the neighbour knows of a change of the view that the platform
 // counted as a revision.
 func (p *Position) told(change, revision uint64) bool {
-	return change <= p.Change || p.Revision > 0 && revision <= p.Revision
+	return change <= p.Generation || p.Revision > 0 && revision <= p.Revision
 }
 
 // Since returns what the neighbour lacks, and its position after that. A large change of
 // the configuration comes in parts, one each time: what else changes goes before the next
 // one, so that no departure waits for a configuration.
 func (v *View) Since(now time.Time, position Position) (*Update, Position) {
-	update := &Update{Age: v.Lag(now), RTT: v.rtt, Revision: v.complete, More: v.heard.After(v.verified)}
+	update := &Update{Age: v.Lag(now), RTT: v.rtt, Revision: v.complete, ConfigPending: v.heard.After(v.verified)}
 	if v.ReadFailed() {
-		update.Failed = max(1, now.Sub(v.failed))
+		update.FailedReadAge = max(1, now.Sub(v.failed))
 	}
-	if position.Change != v.change {
+	if position.Generation != v.change {
 		update.Targets = v.targetsSince(now, position)
 		update.Removed = v.removedSince(now, position)
-		position.Change = v.change
+		position.Generation = v.change
 		position.Revision = 0
 	}
 	update.Config, position = v.nextPart(position)
-	update.More = update.More || position.Pending()
+	update.ConfigPending = update.ConfigPending || position.Pending()
 	return update, position
 }
 
@@ -93,9 +93,9 @@
 			continue
 		}
 		target := member.Target
-		target.Cold = max(0, member.WarmAt.Sub(now))
+		target.WarmupRemaining = max(0, member.WarmAt.Sub(now))
 		if target.State == Draining {
-			target.Draining = now.Sub(member.DrainingSince)
+			target.DrainingFor = now.Sub(member.DrainingSince)
 		}
 		targets = append(targets, target)
 	}
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -101,16 +101,16 @@
 	RTT time.Duration `cbor:"w,omitempty"`
 	// Failed is how long ago a read of the platform failed last, as far as the sender
 	// knows; zero when none has since its view was current.
-	Failed time.Duration `cbor:"f,omitempty"`
+	FailedReadAge time.Duration `cbor:"f,omitempty"`
 	// Revision is the platform's counter up to which the sender holds every change, be
 	// its view current or not; zero where it doesn't know.
 	Revision uint64 `cbor:"v,omitempty"`
 	// More says that a configuration is on its way, to the sender or in parts from it,
 	// without which no view is current.
-	More bool `cbor:"m,omitempty"`
+	ConfigPending bool `cbor:"m,omitempty"`
 	// Sent is when the message was made, counted from the beginning of its feed by
 	// the sender's steady clock; zero where the sender doesn't say.
-	Sent time.Duration `cbor:"s,omitempty"`
+	SentOffset time.Duration `cbor:"s,omitempty"`
 }
 
 // Empty reports whether the update tells nothing but its age.
@@ -120,10 +120,10 @@
 func (v *View) Table() *Table { return v.table }
 
 // Change is a number that grows with each change of the view.
-func (v *View) Change() uint64 { return v.change }
+func (v *View) Generation() uint64 { return v.change }
 
 // MembersChange is a number that grows with each change of the known targets.
-func (v *View) MembersChange() uint64 { return v.membersChange }
+func (v *View) MembersGeneration() uint64 { return v.membersChange }
 
 // Version is the configuration's version in force, 0 when there is none.
 func (v *View) Version() uint64 {
@@ -169,7 +169,7 @@
 }
 
 // NoteFailedRead keeps that a read of the platform failed at a time.
-func (v *View) NoteFailedRead(at time.Time) {
+func (v *View) RecordFailedRead(at time.Time) {
 	if at.After(v.failed) {
 		v.failed = at
 	}
@@ -195,7 +195,7 @@
 // has a new entry, and the old one stands until its lease runs out. After a loss
 // of power of a whole fleet every second offer would else go to a target that is
 // gone.
-func (v *View) Takers() map[string][]*Member {
+func (v *View) ReadyByService() map[string][]*Member {
 	takers := map[string][]*Member{}
 	for _, member := range v.latestByAddress() {
 		if member.State == Ready {
@@ -216,7 +216,7 @@
 func (v *View) Apply(sent time.Time, update *Update) error {
 	var err error
 	if update.Config != nil {
-		err = v.applyConfig(update.Config, !update.More)
+		err = v.applyConfig(update.Config, !update.ConfigPending)
 	}
 	for i := range update.Targets {
 		v.applyTarget(sent, &update.Targets[i])
@@ -225,8 +225,8 @@
 		v.remove(sent, removal)
 	}
 	v.forget(sent)
-	if update.Failed > 0 {
-		v.NoteFailedRead(sent.Add(-update.Failed))
+	if update.FailedReadAge > 0 {
+		v.RecordFailedRead(sent.Add(-update.FailedReadAge))
 	}
 	if err != nil {
 		return err
@@ -234,7 +234,7 @@
 	if update.Age >= 0 {
 		v.hear(sent.Add(-update.Age))
 	}
-	if update.More {
+	if update.ConfigPending {
 		return nil
 	}
 	v.complete = max(v.complete, update.Revision)
@@ -299,8 +299,8 @@
 	}
 	v.change++
 	next := &Member{Target: *target, change: v.change}
-	if target.Cold > 0 {
-		next.WarmAt = sent.Add(target.Cold)
+	if target.WarmupRemaining > 0 {
+		next.WarmAt = sent.Add(target.WarmupRemaining)
 	}
 	if target.State == Draining {
 		next.DrainingSince = drainingSince(sent, known, target)
@@ -325,14 +325,14 @@
 	switch {
 	case known != nil && known.State == Draining:
 		return known.DrainingSince
-	case known == nil && target.Draining == 0:
+	case known == nil && target.DrainingFor == 0:
 		return sent.Add(-removalMemory)
 	}
-	return sent.Add(-target.Draining)
+	return sent.Add(-target.DrainingFor)
 }
 
 // At returns the target of the latest start at an address, or nil.
-func (v *View) At(address string) *Member { return v.latestByAddress()[address] }
+func (v *View) MemberAt(address string) *Member { return v.latestByAddress()[address] }
 
 // latestByAddress returns the target of the latest start at each address. It is
 // made anew only when members have changed.
@@ -407,7 +407,7 @@
 
 // Listed returns the removals that a whole listing of the platform at a revision
 // implies: known targets that it doesn't hold, which stay in use for a grace.
-func (v *View) Listed(listed []Target, revision uint64, grace time.Duration) []Removal {
+func (v *View) ImpliedRemovals(listed []Target, revision uint64, grace time.Duration) []Removal {
 	held := make(map[string]bool, len(listed))
 	for i := range listed {
 		held[listed[i].ID] = true
