--- a/internal/mesh/delta.go
+++ b/internal/mesh/delta.go
@@ -6,30 +6,29 @@
 	"github.com/pkg/errors"
 )
 
-// ConfigDelta turns the configuration of version Base into that of version
-// Version. Base 0 means that nothing is presumed and everything is here.
+// ConfigDelta transforms the configuration of version Base into that of version Version.
+// Base 0 marks a complete configuration that needs no base.
 type ConfigDelta struct {
 	Base    uint64 `cbor:"b"`
 	Version uint64 `cbor:"v"`
-	// Changed holds routes that are new or differ, Dropped the names of those
-	// that are gone.
+	// Changed holds new and modified routes, Dropped the names of removed ones.
 	Changed  []Route   `cbor:"c,omitempty"`
 	Dropped  []string  `cbor:"d,omitempty"`
 	Services []Service `cbor:"s,omitempty"`
 	Limits   Limits    `cbor:"l"`
-	// Part counts the parts of a delta that is sent in several from 0, up to Parts; a
-	// whole one has no Parts. Each has a share of the changed routes, and the last one
-	// all else.
+	// Part is the index, from 0, of this part of a delta that is sent in Parts parts; an
+	// undivided delta has Parts 0. Each part has a share of the changed routes; the last
+	// one also has all other fields.
 	Part  int `cbor:"i,omitempty"`
 	Parts int `cbor:"n,omitempty"`
 }
 
-// ErrBase says that a delta builds on a version that this node doesn't hold.
-var ErrUnknownBase = errors.New("the delta builds on another version")
+// ErrUnknownBase is returned if this node doesn't hold the base version of a delta.
+var ErrUnknownBase = errors.New("base version of the configuration delta is not held")
 
-// Diff returns what turns one configuration into another; from may be nil. Of
-// several hundred routes a change alters a few, and the delta is some hundred
-// bytes where the whole is a hundred kilobytes.
+// Diff returns the delta from one configuration to another; from may be nil. A change
+// typically alters a few of several hundred routes, so that the delta takes some hundred
+// bytes instead of the hundred kilobytes of the configuration.
 func Diff(from, to *Config) *ConfigDelta {
 	delta := &ConfigDelta{Version: to.Version, Services: to.Services, Limits: to.Limits}
 	if from == nil {
@@ -55,8 +54,8 @@
 	return delta
 }
 
-// Apply returns the configuration that the delta makes of base, which may be
-// nil. Base is not changed.
+// Apply returns the result of applying the delta to base, which may be nil and is not
+// modified.
 func (d *ConfigDelta) Apply(base *Config) (*Config, error) {
 	config := &Config{Version: d.Version, Services: d.Services, Limits: d.Limits}
 	if d.Base == 0 {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -48,9 +48,9 @@
 	assert.DeepEqual(t, count, map[string]int{"a": 27, "b": 3})
 }
 
-// Two neighbours tell a node of the same changes in different steps and at
-// different times. Whatever the order, the node ends with the newest whole
-// version, never goes back, and never makes one up out of two.
+// Guards against mixed or regressing versions if two neighbours send the same changes in
+// different deltas and at different times. In any order, the node must end with the newest
+// complete version, never go back, and never combine two versions.
 func TestDeltasOfTwoNeighboursInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []*Config{nil}
@@ -73,10 +73,10 @@
 			err := view.Apply(start, &Update{Config: Diff(versions[last[from]], versions[next])})
 			last[from] = next
 			if err != nil {
-				t.Fatal("every base was held", err)
+				t.Fatal("delta refused although its base is held", err)
 			}
 			if view.Version() < before || view.Version() < uint64(next) {
-				t.Fatal("went back", before, view.Version())
+				t.Fatal("version went back", before, view.Version())
 			}
 			want := NewTable(versions[view.Version()])
 			for i := range 6 {
@@ -89,16 +89,16 @@
 	})
 }
 
-// The platform was away and leases ran out. When it is back, its list lacks
-// targets that live. They stay in use for the time in which they renew, and are
-// dropped after it if they don't.
+// Guards against dropping live targets whose leases expired during a platform outage, so
+// that they are missing from the platform's list after it. They stay in use for the time in
+// which they renew, and are dropped afterwards if they don't.
 func TestLapsedTargetsStayAWhile(t *testing.T) {
 	view := NewView()
 	target := Target{ID: "i", Service: "s", State: Ready, Revision: 5}
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{target}}))
-	gone := view.ImpliedRemovals(nil, 9, SuspectGrace)
-	assert.Equal(t, len(gone), 1)
-	assert.NilError(t, view.Apply(start, &Update{Removed: gone}))
+	removals := view.ImpliedRemovals(nil, 9, SuspectGrace)
+	assert.Equal(t, len(removals), 1)
+	assert.NilError(t, view.Apply(start, &Update{Removed: removals}))
 	assert.Assert(t, view.Members()["i"].Usable(start.Add(time.Second)))
 	assert.Assert(t, !view.Members()["i"].Usable(start.Add(SuspectGrace)))
 	target.Revision = 12
@@ -106,8 +106,9 @@
 	assert.Assert(t, view.Members()["i"].Usable(start.Add(time.Hour)))
 }
 
-// A target's entry is gone when the platform comes back, and the word passes through
-// two nodes, late. The last one uses the target no longer than the first.
+// Guards against a grace period that restarts on each node: the removal of an entry is
+// forwarded through two nodes, late. The last node must not use the target for longer than
+// the first.
 func TestGraceRunsFromTheFirstWord(t *testing.T) {
 	views := []*View{NewView(), NewView(), NewView()}
 	target := Target{ID: "i", Service: "s", State: Ready, Revision: 5}
@@ -132,8 +133,8 @@
 	assert.Equal(t, len(view.Members()), 0)
 }
 
-// Updates on a target that left cross on two paths: its old entry comes after its
-// removal. The target stays gone.
+// Guards against restoring a departed target if its old entry arrives after its removal
+// because they took different paths.
 func TestCrossedUpdatesReviveNobody(t *testing.T) {
 	view := NewView()
 	target := Target{ID: "i", State: Ready, Revision: 5}
@@ -143,7 +144,7 @@
 	assert.Equal(t, len(view.Members()), 0)
 }
 
-// A neighbour is told each change once and nothing that it holds already.
+// Guards against sending a neighbour a change twice, or data that it already holds.
 func TestNeighbourGetsOnlyWhatItLacks(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Config: Diff(nil, config(1, route("a", "h", "/a/"))), Targets: []Target{{ID: "i", State: Ready, Revision: 1}}}))
@@ -160,9 +161,9 @@
 	assert.Equal(t, len(update.Targets), 0)
 }
 
-// A fleet has lost its power and is back: each address has the entry of the
-// target that runs there now, and the old one, whose lease has not run out. No
-// work goes to the old ones, nor to a target whose address another service has.
+// Guards against requests to old entries after a power loss of a fleet: each address has
+// the entry of the target that runs there now, and an old one whose lease has not expired.
+// A target whose address now belongs to another service must not get requests either.
 func TestOldEntryOfAnAddressTakesNoWork(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{
@@ -171,15 +172,16 @@
 		{ID: "other", Service: "s", Address: "b:1", State: Ready, Revision: 6},
 		{ID: "reused", Service: "t", Address: "b:1", State: Draining, Revision: 9},
 	}}))
-	takers := view.ReadyByService()
-	assert.Equal(t, len(takers["s"]), 1)
-	assert.Equal(t, takers["s"][0].ID, "new")
-	assert.Equal(t, len(takers["t"]), 0)
+	ready := view.ReadyByService()
+	assert.Equal(t, len(ready["s"]), 1)
+	assert.Equal(t, ready["s"][0].ID, "new")
+	assert.Equal(t, len(ready["t"]), 0)
 }
 
-// A target is started again under the id that it had. The last word of the
-// process that ended, "draining", reaches the platform after the first word of
-// the new one. The new process goes on getting work; its own later word counts.
+// Guards against applying a late write of an ended process. A target is restarted under the
+// same id, and the "draining" written by the old process reaches the platform after the
+// first write of the new one. The new process continues to get requests; its own later
+// writes count.
 func TestLateWordOfAnEarlierStartIsLeftOut(t *testing.T) {
 	view := NewView()
 	for _, entry := range []Target{
@@ -195,21 +197,21 @@
 	assert.Equal(t, len(view.ReadyByService()["s"]), 0)
 }
 
-// A target started anew under another id, and a late word of the one that was at
-// its address before reaches the platform after that. Work goes to the new one.
+// Guards against a late write of an ended process under another id: it reaches the platform
+// after the new process at the same address has registered. Requests go to the new one.
 func TestLateWordOfAnEarlierStartTakesNoAddress(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{
 		{ID: "old", Service: "s", Address: "a:1", State: Ready, Started: 100, Revision: 9},
 		{ID: "new", Service: "s", Address: "a:1", State: Ready, Started: 200, Revision: 8},
 	}}))
-	takers := view.ReadyByService()["s"]
-	assert.Equal(t, len(takers), 1)
-	assert.Equal(t, takers[0].ID, "new")
+	ready := view.ReadyByService()["s"]
+	assert.Equal(t, len(ready), 1)
+	assert.Equal(t, ready[0].ID, "new")
 }
 
-// A view gets old because its updates are late, not because the platform is away. It takes
-// a failed read for an outage.
+// Guards against treating a view that is old because its updates are late as a platform
+// outage. Only a failed read indicates an outage.
 func TestOldViewIsNoOutage(t *testing.T) {
 	for _, test := range []struct {
 		desc        string
@@ -231,27 +233,27 @@
 			update, _ := view.Since(start, Position{})
 			neighbour := NewView()
 			assert.NilError(t, neighbour.Apply(start, update))
-			assert.Equal(t, neighbour.Outage(start), test.want, "told by a neighbour")
+			assert.Equal(t, neighbour.Outage(start), test.want, "received from a neighbour")
 		})
 	}
 }
 
-// Guards against late work for a target that drained long before a fresh node first
-// heard of it.
+// Guards against late requests to a target that had been draining long before a new node
+// first received its entry.
 func TestDrainingIsDated(t *testing.T) {
 	ready := Target{ID: "i", State: Ready, Revision: 5}
 	draining := Target{ID: "i", State: Draining, Revision: 6}
-	told := draining
-	told.DrainingFor = time.Second
+	dated := draining
+	dated.DrainingFor = time.Second
 	for _, test := range []struct {
 		desc   string
 		update []Target
 		since  time.Duration
 	}{
 		{"it was ready before", []Target{ready, draining}, 0},
-		{"a neighbour tells since when", []Target{ready, told}, time.Second},
-		{"unknown before, a neighbour tells since when", []Target{told}, time.Second},
-		{"unknown before", []Target{draining}, removalMemory},
+		{"a neighbour reports since when", []Target{ready, dated}, time.Second},
+		{"unknown before, a neighbour reports since when", []Target{dated}, time.Second},
+		{"unknown before", []Target{draining}, removalRetention},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			view := NewView()
@@ -261,8 +263,8 @@
 	}
 }
 
-// Guards against feeds that tell a neighbour again what it holds, and against ones that
-// leave out what is newer.
+// Guards against feeds that resend data that a neighbour already holds, and against feeds
+// that omit newer data.
 func TestNeighbourGetsWhatIsNewerThanItHolds(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{
@@ -295,8 +297,8 @@
 	}
 }
 
-// Guards against a view that counts as whole up to a revision though a part of it could
-// not be taken.
+// Guards against a view that is marked complete up to a revision although a part of the
+// update could not be applied.
 func TestViewIsWholeOnlyAfterAllOfAnUpdate(t *testing.T) {
 	view := NewView()
 	err := view.Apply(start, &Update{Config: &ConfigDelta{Base: 4, Version: 5}, Revision: 9})
--- a/internal/mesh/parts.go
+++ b/internal/mesh/parts.go
@@ -7,13 +7,13 @@
 	"github.com/pkg/errors"
 )
 
-// routesPerPart bounds the routes in one part: some 2 KB, behind which other updates wait
-// for a few milliseconds on a small link.
+// routesPerPart bounds the routes in one part: some 2 KB, which delay other updates by a
+// few milliseconds on a slow link.
 const routesPerPart = 128
 
-// Split returns the delta in parts that are sent one by one, in order. Routes are divided
-// by name, so that all nodes divide a step alike, in whatever order they hold the routes,
-// and parts from several of them fit together.
+// Split divides the delta into parts that are sent one by one, in order. Routes are sorted
+// by name, so that all nodes divide the same change in the same way, whatever order they
+// hold the routes in, and parts from several nodes fit together.
 func (d *ConfigDelta) Split() []*ConfigDelta {
 	count := (len(d.Changed) + routesPerPart - 1) / routesPerPart
 	if count <= 1 {
@@ -40,12 +40,12 @@
 	return &assembly{base: part.Base, version: part.Version, parts: make([]*ConfigDelta, part.Parts), missing: part.Parts}
 }
 
-// is reports whether a part belongs to the assembly.
-func (a *assembly) is(part *ConfigDelta) bool {
+// matches reports whether a part belongs to the assembly.
+func (a *assembly) matches(part *ConfigDelta) bool {
 	return a.base == part.Base && a.version == part.Version && len(a.parts) == part.Parts
 }
 
-// add keeps a part that isn't there yet.
+// add stores a part unless it is a duplicate or its index is out of range.
 func (a *assembly) add(part *ConfigDelta) {
 	if part.Part < 0 || part.Part >= len(a.parts) || a.parts[part.Part] != nil {
 		return
@@ -54,34 +54,36 @@
 	a.missing--
 }
 
-// whole puts the parts together. It returns nil where they are not of one split: each
-// route stands once, by name.
-func (a *assembly) whole() *ConfigDelta {
+// join returns the complete delta. It returns nil if the parts come from different splits,
+// which it detects by route names that are duplicate or not in ascending order.
+func (a *assembly) join() *ConfigDelta {
 	last := a.parts[len(a.parts)-1]
-	whole := &ConfigDelta{Base: a.base, Version: a.version, Dropped: last.Dropped, Services: last.Services, Limits: last.Limits}
+	delta := &ConfigDelta{Base: a.base, Version: a.version, Dropped: last.Dropped, Services: last.Services, Limits: last.Limits}
 	for _, part := range a.parts {
-		whole.Changed = append(whole.Changed, part.Changed...)
+		delta.Changed = append(delta.Changed, part.Changed...)
 	}
-	for i := range whole.Changed[1:] {
-		if whole.Changed[i].Name >= whole.Changed[i+1].Name {
+	for i := range delta.Changed[1:] {
+		if delta.Changed[i].Name >= delta.Changed[i+1].Name {
 			return nil
 		}
 	}
-	return whole
+	return delta
 }
 
-// maxParts bounds what a broken neighbour can make this node hold.
+// maxParts bounds the memory that a faulty neighbour can make this node allocate.
 const maxParts = 1 << 10
 
-// keptAssemblies is how many deltas are collected at a time: neighbours send different
-// steps.
-const keptAssemblies = 4
+// maxAssemblies is how many deltas are assembled at a time: neighbours may send deltas
+// between different versions.
+const maxAssemblies = 4
 
-// ErrParts says that the parts of a delta are too many, or don't make a whole.
-var ErrInvalidParts = errors.New("the delta's parts make no whole")
+// ErrInvalidParts is returned if a delta has too many parts, or if its parts are incomplete
+// or don't fit together.
+var ErrInvalidParts = errors.New("configuration delta has missing or invalid parts")
 
-// assemble keeps a part of a delta and returns the whole one, or nil while parts are
-// missing. No more parts come after the last one, so that none may be missing then.
+// assemble stores a part of a delta and returns the complete delta, or nil while parts are
+// missing. Last means that no further part follows, so that a part still missing then is an
+// error.
 func (v *View) assemble(part *ConfigDelta, last bool) (*ConfigDelta, error) {
 	if part.Parts <= 1 {
 		return part, nil
@@ -89,10 +91,10 @@
 	if part.Parts > maxParts {
 		return nil, ErrInvalidParts
 	}
-	if part.Base != 0 && v.held(part.Base) == nil {
+	if part.Base != 0 && v.recentConfig(part.Base) == nil {
 		return nil, ErrUnknownBase
 	}
-	at := v.assemblyOf(part)
+	at := v.assemblyIndex(part)
 	a := v.assemblies[at]
 	a.add(part)
 	if a.missing > 0 {
@@ -103,19 +105,20 @@
 		return nil, nil
 	}
 	v.assemblies = slices.Delete(v.assemblies, at, at+1)
-	if whole := a.whole(); whole != nil {
-		return whole, nil
+	if delta := a.join(); delta != nil {
+		return delta, nil
 	}
 	return nil, ErrInvalidParts
 }
 
-// assemblyOf returns the place of a part's assembly, which it begins if there is none.
-func (v *View) assemblyOf(part *ConfigDelta) int {
-	at := slices.IndexFunc(v.assemblies, func(a *assembly) bool { return a.is(part) })
+// assemblyIndex returns the index of the assembly for a part, which it creates if there is
+// none.
+func (v *View) assemblyIndex(part *ConfigDelta) int {
+	at := slices.IndexFunc(v.assemblies, func(a *assembly) bool { return a.matches(part) })
 	if at >= 0 {
 		return at
 	}
-	if len(v.assemblies) == keptAssemblies {
+	if len(v.assemblies) == maxAssemblies {
 		v.assemblies = slices.Delete(v.assemblies, 0, 1)
 	}
 	v.assemblies = append(v.assemblies, newAssembly(part))
--- a/internal/mesh/parts_test.go
+++ b/internal/mesh/parts_test.go
@@ -17,8 +17,9 @@
 	return made
 }
 
-// Guards against a configuration that is in force in part, or put together from parts of
-// different steps: several neighbours send parts of several steps at once, each in order.
+// Guards against a partially applied configuration, or one assembled from parts of
+// different deltas: several neighbours send the parts of several deltas at the same time,
+// each in order.
 func TestPartsMakeTheWholeOrNothing(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -42,10 +43,10 @@
 				feeds = slices.Delete(feeds, i, i+1)
 			}
 			inForce := view.Table().Config
-			whole := versions[inForce.Version-1]
-			assert.Equal(t, len(inForce.Routes), len(whole.Routes))
+			complete := versions[inForce.Version-1]
+			assert.Equal(t, len(inForce.Routes), len(complete.Routes))
 			want := map[string]Route{}
-			for _, route := range whole.Routes {
+			for _, route := range complete.Routes {
 				want[route.Name] = route
 			}
 			for _, route := range inForce.Routes {
@@ -57,7 +58,7 @@
 	}
 }
 
-// Guards against a departure that waits until a large configuration has been sent.
+// Guards against a departure that is not sent until a large configuration has been sent.
 func TestDepartureGoesBetweenParts(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{
@@ -78,8 +79,8 @@
 	assert.Equal(t, update.Config.Part+1, update.Config.Parts)
 }
 
-// Guards against a view that counts as current though parts of the configuration that
-// makes it so are missing.
+// Guards against a view that counts as current although parts of the configuration are
+// missing.
 func TestViewIsNotCurrentBeforeTheLastPart(t *testing.T) {
 	from, to := NewView(), NewView()
 	assert.NilError(t, from.Apply(start, &Update{Config: Diff(nil, config(1, manyRoutes(300, "a")...)), Revision: 7}))
@@ -98,7 +99,8 @@
 	assert.Equal(t, to.Checkpoint(), from.Checkpoint())
 }
 
-// Guards against a new version that waits for the rest of the one it replaces.
+// Guards against a new version that is not sent until the rest of the one it replaces has
+// been sent.
 func TestReplacedConfigurationIsNotSentToItsEnd(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Config: Diff(nil, config(1, manyRoutes(1400, "a")...))}))
@@ -109,20 +111,21 @@
 	assert.Assert(t, !position.Pending() && !update.ConfigPending)
 }
 
-// Guards against a broken neighbour that makes this node hold memory for ever more parts.
+// Guards against a faulty neighbour that makes this node allocate memory for an unbounded
+// number of parts.
 func TestTooManyPartsAreRefused(t *testing.T) {
 	view := NewView()
 	assert.ErrorIs(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 1, Parts: 1 << 30}}), ErrInvalidParts)
 	for version := range uint64(20) {
 		assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: version + 1, Parts: 2}, ConfigPending: true}))
 	}
-	assert.Equal(t, len(view.assemblies), keptAssemblies)
+	assert.Equal(t, len(view.assemblies), maxAssemblies)
 	assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 20, Parts: 2, Part: -1}, ConfigPending: true}))
 }
 
-// Guards against a configuration that lacks routes, for which callers get 404: two neighbours
-// hold the routes of one version in other orders, one as the platform lists them and one
-// as it put them together, and each sends some of the parts.
+// Guards against a configuration that lacks routes, for which callers get 404: two
+// neighbours hold the routes of one version in different orders, one as listed by the
+// platform and one as assembled from deltas, and each sends some of the parts.
 func TestPartsOfTwoNeighboursFitTogether(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -149,8 +152,8 @@
 	}
 }
 
-// Guards against a view that counts as current without the configuration: parts were lost,
-// or are those of another split.
+// Guards against a view that counts as current without the configuration, because parts
+// were lost or belong to another split.
 func TestMissingPartsBreakTheFeed(t *testing.T) {
 	whole := Diff(nil, config(1, manyRoutes(300, "a")...))
 	parts := whole.Split()
@@ -161,7 +164,7 @@
 	}{
 		{"the first is missing", parts[1:]},
 		{"the last alone", parts[2:]},
-		{"one is another's", []*ConfigDelta{parts[0], {Version: 1, Part: 1, Parts: 3, Changed: parts[0].Changed}, parts[2]}},
+		{"one belongs to another split", []*ConfigDelta{parts[0], {Version: 1, Part: 1, Parts: 3, Changed: parts[0].Changed}, parts[2]}},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			view := NewView()
--- a/internal/mesh/since.go
+++ b/internal/mesh/since.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// Position is how far a neighbour has been told: what it holds of the
-// configuration, and up to which change of this view.
+// Position is how far a neighbour has been updated: the configuration that it holds and the
+// generation of this view up to which it has received changes.
 type Position struct {
 	Config     *Config
 	Generation uint64
-	// sending is the configuration of which so many parts were sent; nil for none.
-	sending *Config
-	parts   int
-	// Revision is the platform's counter up to which the neighbour held every change
-	// before it was told anything.
+	// sending is the configuration that is being sent, nil for none, and sentParts the
+	// number of its parts that were sent.
+	sending   *Config
+	sentParts int
+	// Revision is the platform revision up to which the neighbour held all changes before
+	// it received any update.
 	Revision uint64
 }
 
-// Held is what a neighbour says that it holds when it opens a feed.
+// Checkpoint is the state that a neighbour reports when it opens a feed.
 type Checkpoint struct {
-	// Version is that of its configuration, Revision the platform's counter up to which
-	// it holds every change; zero where it holds none.
+	// Version is the version of the neighbour's configuration, Revision the platform
+	// revision up to which it holds all changes. Zero means none.
 	Version, Revision uint64
 }
 
-// Held returns what this view holds.
-func (v *View) Checkpoint() Checkpoint { return Checkpoint{Version: v.Version(), Revision: v.complete} }
+// Checkpoint returns the checkpoint of this view.
+func (v *View) Checkpoint() Checkpoint { return Checkpoint{Version: v.Version(), Revision: v.revision} }
 
-// After returns the position of a neighbour that holds so much and was told nothing yet.
+// PositionFor returns the initial position of a neighbour that reported a checkpoint.
 func (v *View) PositionFor(held Checkpoint) Position {
 	position := Position{Revision: held.Revision}
 	if v.table != nil && v.Version() == held.Version {
@@ -38,24 +39,24 @@
 	return position
 }
 
-// told reports whether the neighbour knows of a change of the view that the platform
-// counted as a revision.
-func (p *Position) told(change, revision uint64) bool {
-	return change <= p.Generation || p.Revision > 0 && revision <= p.Revision
+// covers reports whether the neighbour holds a change, given the view's generation and the
+// platform's revision of the change.
+func (p *Position) covers(generation, revision uint64) bool {
+	return generation <= p.Generation || p.Revision > 0 && revision <= p.Revision
 }
 
-// Since returns what the neighbour lacks, and its position after that. A large change of
-// the configuration comes in parts, one each time: what else changes goes before the next
-// one, so that no departure waits for a configuration.
+// Since returns the update that the neighbour lacks, and its position afterwards. A large
+// configuration change is sent in parts, one per call. Other changes are sent before the
+// next part, so that a departure doesn't wait for a configuration.
 func (v *View) Since(now time.Time, position Position) (*Update, Position) {
-	update := &Update{Age: v.Lag(now), RTT: v.rtt, Revision: v.complete, ConfigPending: v.heard.After(v.verified)}
+	update := &Update{Age: v.Lag(now), RTT: v.rtt, Revision: v.revision, ConfigPending: v.membersCurrentAt.After(v.currentAt)}
 	if v.ReadFailed() {
-		update.FailedReadAge = max(1, now.Sub(v.failed))
+		update.FailedReadAge = max(1, now.Sub(v.failedReadAt))
 	}
-	if position.Generation != v.change {
+	if position.Generation != v.generation {
 		update.Targets = v.targetsSince(now, position)
 		update.Removed = v.removedSince(now, position)
-		position.Generation = v.change
+		position.Generation = v.generation
 		position.Revision = 0
 	}
 	update.Config, position = v.nextPart(position)
@@ -63,33 +64,34 @@
 	return update, position
 }
 
-// Pending reports whether parts of a configuration are still to be sent.
+// Pending reports whether parts of a configuration remain to be sent.
 func (p *Position) Pending() bool { return p.sending != nil }
 
-// nextPart returns the next part of the configuration that the neighbour lacks, or nil. A
-// configuration that was replaced before all its parts were sent is given up.
+// nextPart returns the next part of the configuration that the neighbour lacks, or nil. If
+// the configuration was replaced before all its parts were sent, its remaining parts are
+// skipped.
 func (v *View) nextPart(position Position) (*ConfigDelta, Position) {
 	if v.table == nil || v.table.Config == position.Config {
 		position.sending = nil
 		return nil, position
 	}
 	if position.sending != v.table.Config {
-		position.sending, position.parts = v.table.Config, 0
+		position.sending, position.sentParts = v.table.Config, 0
 	}
-	parts := v.stepFrom(position.Config)
-	part := parts[position.parts]
-	position.parts++
-	if position.parts == len(parts) {
+	parts := v.deltaFrom(position.Config)
+	part := parts[position.sentParts]
+	position.sentParts++
+	if position.sentParts == len(parts) {
 		position.Config, position.sending = v.table.Config, nil
 	}
 	return part, position
 }
 
-// targetsSince returns the targets that changed after a position, by id.
+// targetsSince returns the targets that changed after a position, sorted by id.
 func (v *View) targetsSince(now time.Time, position Position) []Target {
 	var targets []Target
 	for _, member := range v.members {
-		if position.told(member.change, member.Revision) || !member.UsableUntil.IsZero() {
+		if position.covers(member.generation, member.Revision) || !member.UsableUntil.IsZero() {
 			continue
 		}
 		target := member.Target
@@ -103,47 +105,47 @@
 	return targets
 }
 
-// removedSince returns the removals after a position, by id.
+// removedSince returns the removals after a position, sorted by id.
 func (v *View) removedSince(now time.Time, position Position) []Removal {
 	var removals []Removal
-	for _, gone := range v.removed {
-		if position.told(gone.change, gone.Revision) {
+	for _, removed := range v.removed {
+		if position.covers(removed.generation, removed.Revision) {
 			continue
 		}
-		// The grace runs from the first word of it. Begun anew by each node
-		// that passes the word on, it let the last ones use a target that had
-		// left for longer than operators allow.
-		removal := gone.Removal
-		removal.Grace = max(0, removal.Grace-now.Sub(gone.at))
+		// The grace period runs from the time at which the removal was first reported. When
+		// each node restarted it on forwarding the removal, the last nodes used a departed
+		// target for longer than operators allow.
+		removal := removed.Removal
+		removal.Grace = max(0, removal.Grace-now.Sub(removed.at))
 		removals = append(removals, removal)
 	}
 	slices.SortFunc(removals, func(a, b Removal) int { return cmp.Compare(a.ID, b.ID) })
 	return removals
 }
 
-// step is the difference of two configurations.
-type step struct {
+// cachedDelta is the delta between two configurations, in parts.
+type cachedDelta struct {
 	from, to *Config
 	parts    []*ConfigDelta
 }
 
-// keptSteps is how many differences are kept: neighbours ask for a change at about
-// the same time, from a few versions.
-const keptSteps = 4
+// maxCachedDeltas is how many deltas are cached: neighbours request a change at about the
+// same time, from a few versions.
+const maxCachedDeltas = 4
 
-// stepFrom returns what turns a configuration, nil for none, into the one in force, in
-// parts. Neighbours share the result, which must not be changed.
-func (v *View) stepFrom(from *Config) []*ConfigDelta {
+// deltaFrom returns the delta, in parts, from a configuration (nil for none) to the active
+// one. The result is shared between neighbours and must not be modified.
+func (v *View) deltaFrom(from *Config) []*ConfigDelta {
 	to := v.table.Config
-	for _, s := range v.steps {
+	for _, s := range v.deltas {
 		if s.from == from && s.to == to {
 			return s.parts
 		}
 	}
-	if len(v.steps) == keptSteps {
-		v.steps = slices.Delete(v.steps, 0, 1)
+	if len(v.deltas) == maxCachedDeltas {
+		v.deltas = slices.Delete(v.deltas, 0, 1)
 	}
 	parts := Diff(from, to).Split()
-	v.steps = append(v.steps, step{from, to, parts})
+	v.deltas = append(v.deltas, cachedDelta{from, to, parts})
 	return parts
 }
--- a/internal/mesh/table.go
+++ b/internal/mesh/table.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is immutable.
+// Table maps requests to routes. It is immutable.
 type Table struct {
 	Config *Config
-	// hosts holds each host's routes, longest prefix first.
+	// hosts holds the routes of each host, longest prefix first.
 	hosts    map[string][]*Route
 	services map[string]*Service
 }
@@ -31,8 +31,8 @@
 	return t
 }
 
-// Route returns the route of the host with the longest prefix of the path, or
-// nil. A port in the host is ignored.
+// Route returns the host's route with the longest prefix that matches the path, or nil. A
+// port in the host is ignored.
 func (t *Table) Route(host, path string) *Route {
 	name, _, _ := strings.Cut(host, ":")
 	for _, route := range t.hosts[strings.ToLower(name)] {
@@ -43,5 +43,5 @@
 	return nil
 }
 
-// Service returns what the configuration says of a service, or nil.
+// Service returns the settings of a service, or nil if it isn't configured.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -7,125 +7,125 @@
 	"time"
 )
 
-// Times of entries that were removed.
 const (
-	// SuspectGrace is how long a target stays in use whose entry was gone when
-	// the platform came back. Its lease may have run out while nobody could
-	// renew it; a live target renews it within some two seconds. Dropping all
+	// SuspectGrace is how long a target stays in use if its entry was missing when the
+	// platform recovered from an outage. Its lease may have expired while it could not be
+	// renewed; a live target renews it within some two seconds. Dropping all such targets
 	// at once would leave a service without targets for that time.
 	SuspectGrace = 2 * time.Second
-	// lapseAfter is how long the platform must be away at least for a lease to run out.
-	lapseAfter = 2500 * time.Millisecond
-	// removalMemory is how long a removal is remembered, so that an older
-	// entry that comes late on another path doesn't revive the target.
-	removalMemory = time.Minute
+	// outageAfter is the shortest platform outage in which a lease may expire.
+	outageAfter = 2500 * time.Millisecond
+	// removalRetention is how long a removal is retained, so that an older entry that
+	// arrives late from another neighbour doesn't restore the target.
+	removalRetention = time.Minute
 )
 
-// Member is a target as a node knows it.
+// Member is a target in a node's view.
 type Member struct {
 	Target
-	// WarmAt is when it has its full speed.
+	// WarmAt is when the target reaches its full speed.
 	WarmAt time.Time
-	// UsableUntil is set for a suspect removal; zero for entries that stand.
+	// UsableUntil is set if the entry was removed and its target stays in use for a grace
+	// period; zero otherwise.
 	UsableUntil time.Time
-	// DrainingSince is when the first node learned that it drains.
+	// DrainingSince is when the first node learned that the target drains.
 	DrainingSince time.Time
-	change        uint64
+	generation    uint64
 }
 
-// Usable reports whether new work may go to the target.
+// Usable reports whether the target may receive new requests.
 func (m *Member) Usable(now time.Time) bool {
 	return m.State == Ready && (m.UsableUntil.IsZero() || now.Before(m.UsableUntil))
 }
 
-// keptConfigs is how many configurations are kept as bases of deltas. During a
-// storm of changes two neighbours send different steps (6 to 8, or 6 to 7 to 8),
-// and a step whose base had been dropped would cost the whole configuration.
-const keptConfigs = 6
+// maxRecentConfigs is how many configurations are kept as bases of deltas. In a burst of
+// changes, two neighbours may send different deltas (6 to 8, or 6 to 7 and 7 to 8); a delta
+// whose base has been dropped would require a transfer of the complete configuration.
+const maxRecentConfigs = 6
 
-type removed struct {
+type removedTarget struct {
 	Removal
-	at     time.Time
-	change uint64
+	at         time.Time
+	generation uint64
 }
 
-// View is what a node knows of the mesh. Updates come on several paths, in any
-// order and more than once; the highest version or revision wins, so a view
-// never goes back. It is not safe for concurrent use.
+// View is a node's view of the mesh. Updates may arrive from several neighbours, in any
+// order and more than once; the highest version or revision wins, so that a view never goes
+// back. It is not safe for concurrent use.
 type View struct {
 	table *Table
-	// recent holds the last configurations, the one in force included.
+	// recent holds the latest configurations, including the active one.
 	recent  []*Config
 	members map[string]*Member
-	removed map[string]removed
-	// change counts the view's own changes, and tells what a neighbour lacks.
-	change uint64
-	// membersChange counts the changes of members alone.
-	membersChange uint64
-	// latest holds the target of the latest start by address, as of latestChange.
-	latest       map[string]*Member
-	latestChange uint64
-	// steps holds the last differences between configurations, assemblies those of
-	// which parts have come.
-	steps      []step
+	removed map[string]removedTarget
+	// generation counts the changes of the view. Neighbours' positions refer to it.
+	generation uint64
+	// membersGeneration counts the changes of members alone.
+	membersGeneration uint64
+	// latest maps each address to the target that started last there, as of
+	// latestGeneration.
+	latest           map[string]*Member
+	latestGeneration uint64
+	// deltas caches the latest deltas between configurations; assemblies holds the deltas
+	// of which some parts have arrived.
+	deltas     []cachedDelta
 	assemblies []*assembly
-	// verified is the latest time at which the platform is known to have held
-	// nothing newer.
-	verified time.Time
-	// heard is the latest time at which the platform is known to have held nothing newer
-	// but a configuration that is on its way here.
-	heard time.Time
-	// complete is the platform's counter up to which the view holds every change.
-	complete uint64
-	// rtt is the round trip to the platform of the node that verified it.
+	// currentAt is the latest time as of which the view is known to have been current.
+	currentAt time.Time
+	// membersCurrentAt is the latest time as of which the view is known to have been
+	// current except for a configuration that is still being received.
+	membersCurrentAt time.Time
+	// revision is the platform revision up to which the view holds all changes.
+	revision uint64
+	// rtt is the round trip to the platform, measured by the node whose read set currentAt.
 	rtt time.Duration
-	// failed is the latest time at which a node's read of the platform is known to
-	// have failed.
-	failed time.Time
+	// failedReadAt is the latest time at which a read of the platform, by any node, is
+	// known to have failed.
+	failedReadAt time.Time
 }
 
-// NewView returns the view of a process that knows nothing.
+// NewView returns an empty view.
 func NewView() *View {
-	return &View{members: map[string]*Member{}, removed: map[string]removed{}}
+	return &View{members: map[string]*Member{}, removed: map[string]removedTarget{}}
 }
 
-// Update is what one message or one read of the platform tells.
+// Update holds the changes from one message of a neighbour or one read of the platform.
 type Update struct {
 	Config  *ConfigDelta `cbor:"c,omitempty"`
 	Targets []Target     `cbor:"t,omitempty"`
 	Removed []Removal    `cbor:"r,omitempty"`
-	// Age is how long ago the sender's view was known to be current, but for a
-	// configuration that it doesn't hold yet (More); negative when it never was. RTT is
-	// the round trip to the platform of the node that knew it.
+	// Age is how long ago the sender's view was known to be current, except for a
+	// configuration that it doesn't hold yet (ConfigPending); negative if it never was. RTT
+	// is the round trip to the platform of the node that read it.
 	Age time.Duration `cbor:"a"`
 	RTT time.Duration `cbor:"w,omitempty"`
-	// Failed is how long ago a read of the platform failed last, as far as the sender
-	// knows; zero when none has since its view was current.
+	// FailedReadAge is how long ago a read of the platform last failed, as far as the
+	// sender knows; zero if none has failed since its view was current.
 	FailedReadAge time.Duration `cbor:"f,omitempty"`
-	// Revision is the platform's counter up to which the sender holds every change, be
-	// its view current or not; zero where it doesn't know.
+	// Revision is the platform revision up to which the sender holds all changes, whether
+	// or not its view is current; zero if unknown.
 	Revision uint64 `cbor:"v,omitempty"`
-	// More says that a configuration is on its way, to the sender or in parts from it,
-	// without which no view is current.
+	// ConfigPending is set if a configuration is still being sent, to the sender or in
+	// parts by it. The receiver's view isn't current without it.
 	ConfigPending bool `cbor:"m,omitempty"`
-	// Sent is when the message was made, counted from the beginning of its feed by
-	// the sender's steady clock; zero where the sender doesn't say.
+	// SentOffset is when the message was created, relative to the start of its feed by the
+	// sender's monotonic clock; zero if the sender doesn't report it.
 	SentOffset time.Duration `cbor:"s,omitempty"`
 }
 
-// Empty reports whether the update tells nothing but its age.
+// Empty reports whether the update contains no changes.
 func (u *Update) Empty() bool { return u.Config == nil && len(u.Targets) == 0 && len(u.Removed) == 0 }
 
-// Table returns the routes in force, nil before the first configuration.
+// Table returns the active routes, or nil before the first configuration.
 func (v *View) Table() *Table { return v.table }
 
-// Change is a number that grows with each change of the view.
-func (v *View) Generation() uint64 { return v.change }
+// Generation returns a number that grows with each change of the view.
+func (v *View) Generation() uint64 { return v.generation }
 
-// MembersChange is a number that grows with each change of the known targets.
-func (v *View) MembersGeneration() uint64 { return v.membersChange }
+// MembersGeneration returns a number that grows with each change of the known targets.
+func (v *View) MembersGeneration() uint64 { return v.membersGeneration }
 
-// Version is the configuration's version in force, 0 when there is none.
+// Version returns the version of the active configuration, or 0 if there is none.
 func (v *View) Version() uint64 {
 	if v.table == nil {
 		return 0
@@ -133,86 +133,86 @@
 	return v.table.Config.Version
 }
 
-// Revision is the platform's counter up to which the view holds every change; zero while
-// it is not known to be whole.
-func (v *View) Revision() uint64 { return v.complete }
+// Revision returns the platform revision up to which the view holds all changes, or zero
+// while it isn't known to be complete.
+func (v *View) Revision() uint64 { return v.revision }
 
-// Age is how long ago the view was known to be current, or negative when it
+// Age returns how long ago the view was known to be current, or a negative value if it
 // never was.
 func (v *View) Age(now time.Time) time.Duration {
-	if v.verified.IsZero() {
+	if v.currentAt.IsZero() {
 		return -1
 	}
-	return max(0, now.Sub(v.verified))
+	return max(0, now.Sub(v.currentAt))
 }
 
-// Lag is the same, but that a configuration may be on its way here: parts of a large one
-// take seconds on a full link, in which the sender is neither lost nor late.
+// Lag is like Age, but disregards a configuration that is still being received. The parts
+// of a large one take seconds on a saturated link, during which the sender is neither lost
+// nor late.
 func (v *View) Lag(now time.Time) time.Duration {
-	if v.heard.IsZero() {
+	if v.membersCurrentAt.IsZero() {
 		return -1
 	}
-	return max(0, now.Sub(v.heard))
+	return max(0, now.Sub(v.membersCurrentAt))
 }
 
-func (v *View) verify(at time.Time, rtt time.Duration) {
-	if at.After(v.verified) {
-		v.verified = at
+func (v *View) setCurrent(at time.Time, rtt time.Duration) {
+	if at.After(v.currentAt) {
+		v.currentAt = at
 		v.rtt = rtt
 	}
 }
 
-func (v *View) hear(at time.Time) {
-	if at.After(v.heard) {
-		v.heard = at
+func (v *View) setMembersCurrent(at time.Time) {
+	if at.After(v.membersCurrentAt) {
+		v.membersCurrentAt = at
 	}
 }
 
-// NoteFailedRead keeps that a read of the platform failed at a time.
+// RecordFailedRead records that a read of the platform failed at the given time.
 func (v *View) RecordFailedRead(at time.Time) {
-	if at.After(v.failed) {
-		v.failed = at
+	if at.After(v.failedReadAt) {
+		v.failedReadAt = at
 	}
 }
 
 // ReadFailed reports whether a read of the platform is known to have failed since the view
 // was current.
-func (v *View) ReadFailed() bool { return v.failed.After(v.heard) }
+func (v *View) ReadFailed() bool { return v.failedReadAt.After(v.membersCurrentAt) }
 
-// Outage reports whether the platform has been away for so long that leases may have
-// run out: no node has read it for that time, and a read failed. Age alone proves
-// nothing: updates are late on a full link as well, and a target that left would then stay
-// in use for the grace of a lapsed one.
+// Outage reports whether the platform has been unavailable for so long that leases may have
+// expired: no node has read it for that time, and a read has failed. Age alone is not
+// sufficient: updates are also late on a saturated link, and a departed target would then
+// stay in use for the grace period of an expired lease.
 func (v *View) Outage(now time.Time) bool {
-	return v.Lag(now) > lapseAfter && v.ReadFailed()
+	return v.Lag(now) > outageAfter && v.ReadFailed()
 }
 
-// Members returns all known targets by id. The map belongs to the view.
+// Members returns all known targets by id. The caller must not modify the map.
 func (v *View) Members() map[string]*Member { return v.members }
 
-// Takers returns the targets that take work, by service. Of several entries with
-// one address only that of the latest start counts: a target that started anew
-// has a new entry, and the old one stands until its lease runs out. After a loss
-// of power of a whole fleet every second offer would else go to a target that is
-// gone.
+// ReadyByService returns the ready targets by service. Of several entries with the same
+// address, only that of the latest start counts: a restarted target has a new entry, and
+// the old one remains until its lease expires. Otherwise, after a power loss of a whole
+// fleet, every second offer would go to a target that no longer runs.
 func (v *View) ReadyByService() map[string][]*Member {
-	takers := map[string][]*Member{}
+	ready := map[string][]*Member{}
 	for _, member := range v.latestByAddress() {
 		if member.State == Ready {
-			takers[member.Service] = append(takers[member.Service], member)
+			ready[member.Service] = append(ready[member.Service], member)
 		}
 	}
-	for _, members := range takers {
+	for _, members := range ready {
 		slices.SortFunc(members, func(a, b *Member) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	return takers
+	return ready
 }
 
-// Apply takes an update that was sent at a time, from which all times in it count. Counted
-// from their arrival, each step from the platform to the last node would lengthen the
-// use of a target that left, and an old update would look fresh. It returns ErrBase if the
-// configuration builds on a version that the view doesn't hold; the rest is taken all
-// the same.
+// Apply applies an update that was sent at the given time, to which all times in it are
+// relative. If they were relative to the time of arrival, each hop from the platform to the
+// last node would prolong the use of a departed target, and an old update would look
+// recent. It returns ErrUnknownBase if the view doesn't hold the base version of the
+// configuration; the rest of the update is applied all the same.
 func (v *View) Apply(sent time.Time, update *Update) error {
 	var err error
 	if update.Config != nil {
@@ -224,7 +224,7 @@
 	for _, removal := range update.Removed {
 		v.remove(sent, removal)
 	}
-	v.forget(sent)
+	v.expire(sent)
 	if update.FailedReadAge > 0 {
 		v.RecordFailedRead(sent.Add(-update.FailedReadAge))
 	}
@@ -232,25 +232,25 @@
 		return err
 	}
 	if update.Age >= 0 {
-		v.hear(sent.Add(-update.Age))
+		v.setMembersCurrent(sent.Add(-update.Age))
 	}
 	if update.ConfigPending {
 		return nil
 	}
-	v.complete = max(v.complete, update.Revision)
+	v.revision = max(v.revision, update.Revision)
 	if update.Age >= 0 {
-		v.verify(sent.Add(-update.Age), update.RTT)
+		v.setCurrent(sent.Add(-update.Age), update.RTT)
 	}
 	return nil
 }
 
-// applyConfig takes a delta or a part of one; last says that no further part follows.
+// applyConfig applies a delta or a part of one; last means that no further part follows.
 func (v *View) applyConfig(delta *ConfigDelta, last bool) error {
-	if v.held(delta.Version) != nil {
+	if v.recentConfig(delta.Version) != nil {
 		return nil
 	}
 	older := delta.Version <= v.Version()
-	config, err := v.configOf(delta, last && !older)
+	config, err := v.buildConfig(delta, last && !older)
 	if err != nil && older {
 		return nil
 	}
@@ -258,29 +258,30 @@
 		return err
 	}
 	v.recent = append(v.recent, config)
-	if len(v.recent) > keptConfigs {
+	if len(v.recent) > maxRecentConfigs {
 		v.recent = slices.Delete(v.recent, 0, 1)
 	}
 	if older {
-		// Never in force, but the base of this neighbour's next step.
+		// It is never active, but this neighbour's next delta builds on it.
 		return nil
 	}
-	v.change++
+	v.generation++
 	v.table = NewTable(config)
 	return nil
 }
 
-// configOf returns the configuration that a delta makes, or nil while parts are missing.
-func (v *View) configOf(delta *ConfigDelta, last bool) (*Config, error) {
+// buildConfig returns the configuration that results from a delta, or nil while parts are
+// missing.
+func (v *View) buildConfig(delta *ConfigDelta, last bool) (*Config, error) {
 	delta, err := v.assemble(delta, last)
 	if delta == nil {
 		return nil, err
 	}
-	return delta.Apply(v.held(delta.Base))
+	return delta.Apply(v.recentConfig(delta.Base))
 }
 
-// held returns the configuration of a version if it is still held.
-func (v *View) held(version uint64) *Config {
+// recentConfig returns the configuration of a version, or nil if it is no longer held.
+func (v *View) recentConfig(version uint64) *Config {
 	for _, config := range v.recent {
 		if config.Version == version {
 			return config
@@ -290,15 +291,15 @@
 }
 
 func (v *View) applyTarget(sent time.Time, target *Target) {
-	if gone, ok := v.removed[target.ID]; ok && gone.Revision >= target.Revision {
+	if removed, ok := v.removed[target.ID]; ok && removed.Revision >= target.Revision {
 		return
 	}
 	known := v.members[target.ID]
-	if known != nil && (known.Revision >= target.Revision || outlived(known, target)) {
+	if known != nil && (known.Revision >= target.Revision || fromEarlierStart(known, target)) {
 		return
 	}
-	v.change++
-	next := &Member{Target: *target, change: v.change}
+	v.generation++
+	next := &Member{Target: *target, generation: v.generation}
 	if target.WarmupRemaining > 0 {
 		next.WarmAt = sent.Add(target.WarmupRemaining)
 	}
@@ -309,9 +310,9 @@
 	v.setMember(target.ID, next)
 }
 
-// setMember replaces what is known of a target; nil drops it.
+// setMember replaces a target; nil removes it.
 func (v *View) setMember(id string, member *Member) {
-	v.membersChange++
+	v.membersGeneration++
 	if member == nil {
 		delete(v.members, id)
 		return
@@ -319,25 +320,26 @@
 	v.members[id] = member
 }
 
-// drainingSince returns when a target began to drain, at the latest. One that is first
-// seen draining, at an unknown time, may have drained for long.
+// drainingSince returns the latest time at which a target may have begun to drain. A target
+// that is first seen draining, without a time, may have been draining for long and is dated
+// back by removalRetention.
 func drainingSince(sent time.Time, known *Member, target *Target) time.Time {
 	switch {
 	case known != nil && known.State == Draining:
 		return known.DrainingSince
 	case known == nil && target.DrainingFor == 0:
-		return sent.Add(-removalMemory)
+		return sent.Add(-removalRetention)
 	}
 	return sent.Add(-target.DrainingFor)
 }
 
-// At returns the target of the latest start at an address, or nil.
+// MemberAt returns the target that started last at an address, or nil.
 func (v *View) MemberAt(address string) *Member { return v.latestByAddress()[address] }
 
-// latestByAddress returns the target of the latest start at each address. It is
-// made anew only when members have changed.
+// latestByAddress returns the target that started last at each address. The result is
+// recomputed only after a change of members.
 func (v *View) latestByAddress() map[string]*Member {
-	if v.latest != nil && v.latestChange == v.membersChange {
+	if v.latest != nil && v.latestGeneration == v.membersGeneration {
 		return v.latest
 	}
 	latest := make(map[string]*Member, len(v.members))
@@ -346,12 +348,12 @@
 			latest[member.Address] = member
 		}
 	}
-	v.latest, v.latestChange = latest, v.membersChange
+	v.latest, v.latestGeneration = latest, v.membersGeneration
 	return latest
 }
 
-// startedBefore reports whether a's process started before b's, both at one
-// address. Where a start isn't told, the entry written last is the later one.
+// startedBefore reports whether a's process started before b's, both at one address. If a
+// start time isn't reported, the entry that was written last counts as the later start.
 func startedBefore(a, b *Member) bool {
 	if a.Started != 0 && b.Started != 0 && a.Started != b.Started {
 		return a.Started < b.Started
@@ -359,13 +361,13 @@
 	return a.Revision < b.Revision
 }
 
-// outlived reports whether an entry was written by an earlier start of the known
-// target. A last word of the process that ended can reach the platform after the
-// first of the one that took over its id. Taken for the newest, "draining" would
-// keep a target without work until its next change, and "ready" would send work
-// to one that drains. Nothing is lost by leaving it out: the process that runs
-// writes again.
-func outlived(known *Member, target *Target) bool {
+// fromEarlierStart reports whether an entry was written by an earlier process than that of
+// the known target. The last write of an ended process can reach the platform after the
+// first write of the process that reuses its id. If that entry were accepted as the newest,
+// "draining" would keep requests from the target until its next change, and "ready" would
+// send requests to a draining one. Ignoring it loses nothing: the running process writes
+// again.
+func fromEarlierStart(known *Member, target *Target) bool {
 	return target.Started != 0 && target.Started < known.Started
 }
 
@@ -374,11 +376,11 @@
 	if known != nil && known.Revision > removal.Revision {
 		return
 	}
-	if gone, ok := v.removed[removal.ID]; ok && gone.Revision >= removal.Revision {
+	if previous, ok := v.removed[removal.ID]; ok && previous.Revision >= removal.Revision {
 		return
 	}
-	v.change++
-	v.removed[removal.ID] = removed{Removal: removal, at: sent, change: v.change}
+	v.generation++
+	v.removed[removal.ID] = removedTarget{Removal: removal, at: sent, generation: v.generation}
 	if known == nil {
 		return
 	}
@@ -386,38 +388,39 @@
 		v.setMember(removal.ID, nil)
 		return
 	}
-	// Members are handed out and read elsewhere, so they are replaced.
+	// Members are shared with other goroutines, so they are replaced, not modified.
 	lapsed := *known
 	lapsed.UsableUntil = sent.Add(removal.Grace)
 	v.setMember(removal.ID, &lapsed)
 }
 
-func (v *View) forget(now time.Time) {
+func (v *View) expire(now time.Time) {
 	for id, member := range v.members {
 		if !member.UsableUntil.IsZero() && !now.Before(member.UsableUntil) {
 			v.setMember(id, nil)
 		}
 	}
-	for id, gone := range v.removed {
-		if now.Sub(gone.at) > removalMemory {
+	for id, removed := range v.removed {
+		if now.Sub(removed.at) > removalRetention {
 			delete(v.removed, id)
 		}
 	}
 }
 
-// Listed returns the removals that a whole listing of the platform at a revision
-// implies: known targets that it doesn't hold, which stay in use for a grace.
+// ImpliedRemovals returns the removals implied by a complete listing of the platform at a
+// revision: the known targets that it doesn't contain. They stay in use for the grace
+// period.
 func (v *View) ImpliedRemovals(listed []Target, revision uint64, grace time.Duration) []Removal {
-	held := make(map[string]bool, len(listed))
+	isListed := make(map[string]bool, len(listed))
 	for i := range listed {
-		held[listed[i].ID] = true
+		isListed[listed[i].ID] = true
 	}
-	var gone []Removal
+	var removals []Removal
 	for _, id := range slices.Sorted(maps.Keys(v.members)) {
 		member := v.members[id]
-		if !held[id] && member.Revision <= revision && member.UsableUntil.IsZero() {
-			gone = append(gone, Removal{ID: id, Revision: revision, Grace: grace})
+		if !isListed[id] && member.Revision <= revision && member.UsableUntil.IsZero() {
+			removals = append(removals, Removal{ID: id, Revision: revision, Grace: grace})
 		}
 	}
-	return gone
+	return removals
 }
