--- a/internal/follow/bench_test.go
+++ b/internal/follow/bench_test.go
@@ -13,8 +13,9 @@
 	"tamarackquay/internal/mesh"
 )
 
-// nodeOfFleet is one node that knows a fleet of so many VMs in four failure domains.
-func nodeOfFleet(vms int) *Follower {
+// newFleetNode returns a node whose view holds a fleet of the given number of VMs in four
+// failure domains.
+func newFleetNode(vms int) *Follower {
 	f := New(Config{
 		Self: "10.0.0.0:9", FailureDomain: "a1", Region: "a", Regions: regions,
 		PeerAddress: func(target string) string { return HostOf(target) + ":9" },
@@ -34,20 +35,20 @@
 	return f
 }
 
-// tickOnce is what a node does in each tick while nothing changes.
+// tickOnce does the work of one tick during which nothing changes.
 func (f *Follower) tickOnce() {
-	f.mayRead()
+	f.shouldRead()
 	f.neighbours()
 	f.mu.Lock()
 	f.orphaned()
 	f.mu.Unlock()
 }
 
-// BenchmarkTickAtRest is what an idle node spends on a tick, ten times a second.
+// BenchmarkTickAtRest measures one tick of an idle node; there are ten a second.
 func BenchmarkTickAtRest(b *testing.B) {
 	for _, vms := range []int{14, 86, 295, 1600} {
 		b.Run(fmt.Sprintf("vms-%d", vms), func(b *testing.B) {
-			f := nodeOfFleet(vms)
+			f := newFleetNode(vms)
 			b.ReportAllocs()
 			for b.Loop() {
 				f.tickOnce()
@@ -56,11 +57,11 @@
 	}
 }
 
-// BenchmarkChange is what a node spends on one target that drains and is ready again.
+// BenchmarkChange measures the handling of one target that drains and becomes ready again.
 func BenchmarkChange(b *testing.B) {
 	for _, vms := range []int{14, 86, 295, 1600} {
 		b.Run(fmt.Sprintf("vms-%d", vms), func(b *testing.B) {
-			f := nodeOfFleet(vms)
+			f := newFleetNode(vms)
 			target := mesh.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", FailureDomain: "a2", Slots: 9, Revision: uint64(vms) + 1}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -78,10 +79,10 @@
 	}
 }
 
-// Guards against work on each tick that grows with the fleet though nothing has changed.
+// Guards against work on each tick that grows with the fleet although nothing has changed.
 func TestTickAtRestDoesNotGrowWithTheFleet(t *testing.T) {
 	allocs := func(vms int) float64 {
-		f := nodeOfFleet(vms)
+		f := newFleetNode(vms)
 		f.tickOnce()
 		return testing.AllocsPerRun(100, f.tickOnce)
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,7 +1,7 @@
-// Package follow keeps a node's view of the mesh current. A few nodes of each
-// region read the platform; the others follow them, and readers of different
-// regions follow each other. When the updates of its neighbours get old, a node
-// reads the platform itself, so that the loss of all readers leaves no node behind.
+// Package follow keeps a node's view of the mesh current. A few nodes of each region, the
+// readers, read the platform; the other nodes follow them, and readers of different regions
+// follow each other. A node whose neighbours' updates are stale reads the platform itself,
+// so that the loss of all readers cuts no node off from updates.
 package follow
 
 import (
@@ -19,105 +19,105 @@
 	"tamarackquay/internal/wait"
 )
 
-// ErrHistoryGone says that the platform no longer has the changes after the
-// revision that was asked for.
-var ErrCompacted = errors.New("the platform has dropped this history")
+// ErrCompacted is returned if the platform no longer holds the changes after the requested
+// revision.
+var ErrCompacted = errors.New("requested revision has been compacted")
 
-// Listing is everything that the platform holds, as of a revision or later.
+// Listing is the complete contents of the platform, as of Revision or later.
 type Listing struct {
 	Config   *mesh.Config
 	Targets  []mesh.Target
 	Revision uint64
-	// Answered is when the platform began to answer.
+	// Answered is when the platform began to respond.
 	Answered time.Time
 }
 
-// Changes are what the platform reports after a revision.
+// Changes holds the changes of the platform's contents after a revision.
 type Changes struct {
 	Config   *mesh.Config
 	Targets  []mesh.Target
 	Removed  []mesh.Removal
 	Revision uint64
-	// Answered is when the platform began to answer.
+	// Answered is when the platform began to respond.
 	Answered time.Time
 }
 
-// Platform reads what operators and targets publish. Each call is paid for.
+// Platform reads the data that operators and targets publish. Each call is billed.
 type Platform interface {
 	List(ctx context.Context) (*Listing, error)
-	// ListCheaply returns what the platform held at some moment of the last seconds, as
+	// ListStale returns the platform's contents at some moment within the last seconds, as
 	// of a revision. It costs a fraction of List.
 	ListStale(ctx context.Context) (*Listing, error)
-	// Watch returns the changes after a revision as soon as there is one, and
-	// none when the wait is over. It returns ErrHistoryGone if the platform
-	// can't tell.
+	// Watch returns the changes after a revision as soon as there is one, or no changes
+	// when the wait expires. It returns ErrCompacted if the platform no longer holds these
+	// changes.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
-	// RTT is the shortest round trip to the platform that was seen; zero before
-	// the first.
+	// RTT returns the shortest measured round trip to the platform, or zero before the
+	// first.
 	RTT() time.Duration
 }
 
-// Feed receives the updates of another node.
+// Feed receives updates from another node.
 type Feed interface {
-	// Follow hands every update to take until the feed breaks or ctx
-	// ends. What is held already isn't sent again.
+	// Follow passes every update to take until the feed breaks or ctx ends. Data covered by
+	// held is not sent again.
 	Follow(ctx context.Context, address string, held mesh.Checkpoint, take func(*mesh.Update) error) error
 }
 
-// Config is what a follower is told about its node.
+// Config configures a Follower.
 type Config struct {
-	// Self is the address of this node for other nodes.
+	// Self is the address at which other nodes reach this node.
 	Self          string
 	FailureDomain string
 	Region        string
 	Regions       map[string]string
-	// PeerAddress turns a target's address into its node's.
+	// PeerAddress returns the address of the node beside the target at an address.
 	PeerAddress func(target string) string
-	// InForceWithin is how soon a change must be in force everywhere; zero means
-	// usualInForce.
+	// PropagationBound is the time within which a change must be active on all nodes; zero
+	// means defaultPropagationBound.
 	PropagationBound time.Duration
-	// FirstStart says that the whole fleet starts for the first time: nobody waits for it
-	// yet, and the platform lists little.
+	// FirstStart is set if the whole fleet starts for the first time: no callers are
+	// waiting yet, and the platform lists few targets.
 	FirstStart bool
-	// Greet reaches the node at an address, which gets a hint by it; nil where
-	// nobody is greeted.
+	// Announce sends a request to the node at an address, which adds this node as a hint.
+	// Nil disables announcements.
 	Announce func(ctx context.Context, address string)
 }
 
-// Times of following.
 const (
-	// nearer is how many times shorter another reader's round trip to the platform
-	// must be to leave the reading to it.
-	nearer = 3
-	// coalesce is the pause of a reader after a change. A storm of changes is
-	// read in a few calls a second instead of one for each change.
-	coalesce = 150 * time.Millisecond
-	// retryFirst is the pause after a first failed read.
-	retryFirst = 200 * time.Millisecond
-	// startPatience is for how long a node that starts waits for its neighbours before
-	// it reads the platform itself, and startGap how much longer for each rank.
-	startPatience = 400 * time.Millisecond
-	startGap      = 5 * time.Millisecond
-	// beginFirst is the pause after a first cheap listing of a platform that lists
-	// nothing yet; it doubles up to beginMost.
-	beginFirst = 250 * time.Millisecond
-	beginMost  = 2 * time.Second
-	// tickInterval is how often roles and neighbours are looked at again where they may
-	// change by time alone, and longestTick where they won't.
-	tickInterval = 100 * time.Millisecond
-	longestTick  = 500 * time.Millisecond
-	// greetInterval is how often a node greets those that should follow it and
-	// don't.
-	greetInterval = 500 * time.Millisecond
-	// settle is for how long after an outage of the platform removals may be leases
-	// that ran out in it.
-	settle = 2500 * time.Millisecond
+	// nearerRTTFactor is how many times shorter the round trip of another reader to the
+	// platform must be for this node to leave the reading to it.
+	nearerRTTFactor = 3
+	// coalesceDelay is a reader's pause after a change. A burst of changes is read in a few
+	// calls a second instead of one call per change.
+	coalesceDelay = 150 * time.Millisecond
+	// initialBackoff is the pause after the first failed read.
+	initialBackoff = 200 * time.Millisecond
+	// startWait is how long a starting node waits for updates from its neighbours before it
+	// reads the platform itself; startStagger is added per rank.
+	startWait    = 400 * time.Millisecond
+	startStagger = 5 * time.Millisecond
+	// initialBootstrapDelay is the pause after the first stale listing if the platform
+	// lists nothing yet; it doubles up to maxBootstrapDelay.
+	initialBootstrapDelay = 250 * time.Millisecond
+	maxBootstrapDelay     = 2 * time.Second
+	// minTick and maxTick bound the interval at which roles and neighbours are
+	// re-evaluated: minTick applies where the passage of time alone may change them soon,
+	// maxTick where it can't.
+	minTick = 100 * time.Millisecond
+	maxTick = 500 * time.Millisecond
+	// announceInterval is the interval at which a node announces itself to the nodes that
+	// should follow it and don't.
+	announceInterval = 500 * time.Millisecond
+	// recoveryWindow is the time after a platform outage in which a removal may stem from a
+	// lease that expired during the outage.
+	recoveryWindow = 2500 * time.Millisecond
 )
 
-// Follower keeps one view. It is safe for concurrent use.
+// Follower maintains one view. It is safe for concurrent use.
 type Follower struct {
 	config   Config
-	pace     pace
+	timing   timing
 	platform Platform
 	feed     Feed
 	clock    port.Clock
@@ -125,55 +125,59 @@
 	meter    port.Meter
 	onChange func(*mesh.View)
 
-	mu    sync.Mutex
-	view  *mesh.View
-	order *order
-	// addresses holds the nodes' addresses by their targets'.
+	mu       sync.Mutex
+	view     *mesh.View
+	topology *topology
+	// addresses maps target addresses to the addresses of their nodes.
 	addresses map[string]string
-	// nearerAt is when a reader much nearer to the platform knew the view to be
-	// current last.
-	nearerAt time.Time
-	changed  chan struct{}
-	// toldCurrent is when the view was known to be current as of the last wake of feeds.
-	toldCurrent time.Time
-	hints       []string
-	// feeds counts the open feeds by the host that follows.
+	// nearerReaderAt is the latest time at which a reader much nearer to the platform is
+	// known to have had a current view.
+	nearerReaderAt time.Time
+	changed        chan struct{}
+	// notifiedCurrent is the time as of which the view was known to be current when the
+	// feeds were last woken.
+	notifiedCurrent time.Time
+	hints           []string
+	// feeds counts the open feeds served by this node, by the follower's host.
 	feeds map[string]int
-	// broken holds the neighbours whose feeds have broken and not come back.
+	// broken holds the neighbours whose feeds have broken and are not restored.
 	broken map[string]bool
 
-	// revision is where this node's watch of the platform stands; zero before the first
-	// listing, and where the platform has dropped what came after it (historyGone).
-	revision    uint64
-	historyGone bool
-	// begun is when a cheap listing told this node who else there is; zero if none did.
-	begun time.Time
-	// returned is when the view was brought up to date after an outage of the
-	// platform, by this node's own reading or by a neighbour's word.
-	returned time.Time
-	// lostAt is when the platform stopped answering; zero while it answers.
+	// revision is the position of this node's watch of the platform; zero before the first
+	// listing. If the platform has compacted the changes after it, it is reset to zero and
+	// compacted is set.
+	revision  uint64
+	compacted bool
+	// bootstrappedAt is when this node learned the fleet's members from a stale listing;
+	// zero if it never did.
+	bootstrappedAt time.Time
+	// recoveredAt is when the view became current again after a platform outage, through
+	// this node's own read or a neighbour's update.
+	recoveredAt time.Time
+	// lostAt is when the platform stopped responding; zero while it responds.
 	lostAt time.Time
 }
 
-// New returns a follower that knows nothing. OnChange is called with the view
-// under its lock after each change; it must not keep the view.
+// New returns a follower with an empty view. OnChange is called after each change of the
+// view, with the lock held; it must not retain the view.
 func New(config Config, platform Platform, feed Feed, clock port.Clock, logger *log.Logger, meter port.Meter, onChange func(*mesh.View)) *Follower {
 	return &Follower{
-		config: config, pace: paceFor(config.PropagationBound), platform: platform, feed: feed, clock: clock, log: logger, meter: meter, onChange: onChange,
+		config: config, timing: timingFor(config.PropagationBound), platform: platform, feed: feed, clock: clock, log: logger, meter: meter, onChange: onChange,
 		view: mesh.NewView(), addresses: map[string]string{}, changed: make(chan struct{}), feeds: map[string]int{}, broken: map[string]bool{},
 	}
 }
 
-// Run follows until ctx ends.
+// Run follows the platform and other nodes until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { f.read(ctx) })
 	running.Go(func() { f.followNeighbours(ctx) })
-	running.Go(func() { f.greetOthers(ctx) })
+	running.Go(func() { f.announceToFollowers(ctx) })
 	running.Wait()
 }
 
-// apply takes an update that was sent at a time and wakes everyone who waits for a change.
+// apply applies an update that was sent at the given time and wakes all goroutines that
+// wait for a change.
 func (f *Follower) apply(update *mesh.Update, sent time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +188,7 @@
 	outage := f.view.Outage(now)
 	err := f.view.Apply(sent, update)
 	if outage && !f.view.Outage(now) {
-		f.returned = now
+		f.recoveredAt = now
 	}
 	changed := f.view.Generation() != before
 	if changed {
@@ -192,15 +196,16 @@
 	}
 	current := f.view.Age(now) >= 0
 	if first := current && age < 0; first || current && changed {
-		f.putInForce(version, first)
+		f.activate(version, first)
 	}
 	f.wakeFeeds(now, changed)
 	return err
 }
 
-// putInForce hands the view on. One that was never known to be current is held back:
-// routes that are gone by now would be served, and new ones not found.
-func (f *Follower) putInForce(before uint64, first bool) {
+// activate logs a new configuration version and passes the view to onChange. It is called
+// only with a view that has been current: with an older one, removed routes would be served
+// and new routes not found.
+func (f *Follower) activate(before uint64, first bool) {
 	if version := f.view.Version(); version != 0 && (first || version != before) {
 		f.log.Info().Uint64(logfield.Version, version).Uint64(logfield.Before, before).
 			Int(logfield.Routes, len(f.view.Table().Config.Routes)).Msg("configuration in force")
@@ -208,15 +213,16 @@
 	f.onChange(f.view)
 }
 
-// wakeFeeds lets the feeds that this node serves send, if the view has changed or has
-// become younger by as much as a beat: passed on with the beats alone, each step from the
-// reader to the last node would add one to the age of its view.
+// wakeFeeds wakes the feeds that this node serves if the view has changed, or if the time
+// as of which it is current has advanced by at least one heartbeat interval. If that time
+// were forwarded with heartbeats alone, each hop from the reader to the last node would add
+// one interval to the age of the view.
 func (f *Follower) wakeFeeds(now time.Time, changed bool) {
 	current := now.Add(-f.view.Lag(now))
-	if !changed && (f.view.Lag(now) < 0 || current.Sub(f.toldCurrent) < f.pace.beat) {
+	if !changed && (f.view.Lag(now) < 0 || current.Sub(f.notifiedCurrent) < f.timing.heartbeatInterval) {
 		return
 	}
-	f.toldCurrent = current
+	f.notifiedCurrent = current
 	f.wake()
 }
 
@@ -226,28 +232,31 @@
 	f.changed = make(chan struct{})
 }
 
-// await waits for a change, for a time between tickInterval and longestTick at most.
-func (f *Follower) await(ctx context.Context, atMost time.Duration) {
+// await waits for a change, for at most the given time, which is clamped to minTick and
+// maxTick.
+func (f *Follower) await(ctx context.Context, timeout time.Duration) {
 	f.mu.Lock()
 	changed := f.changed
 	f.mu.Unlock()
-	awaitChange(ctx, changed, min(max(atMost, tickInterval), longestTick))
+	awaitChange(ctx, changed, min(max(timeout, minTick), maxTick))
 }
 
-// noteNearer keeps the update of a reader that is much nearer to the platform.
-func (f *Follower) noteNearer(update *mesh.Update, sent time.Time) {
-	if update.Age < 0 || update.RTT == 0 || update.RTT*nearer > f.platform.RTT() {
+// recordNearerReader records an update that originates from a reader much nearer to the
+// platform.
+func (f *Follower) recordNearerReader(update *mesh.Update, sent time.Time) {
+	if update.Age < 0 || update.RTT == 0 || update.RTT*nearerRTTFactor > f.platform.RTT() {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at := sent.Add(-update.Age); at.After(f.nearerAt) {
-		f.nearerAt = at
+	if at := sent.Add(-update.Age); at.After(f.nearerReaderAt) {
+		f.nearerReaderAt = at
 	}
 }
 
-// Hint names a node that reached this one. A node that restarts while the
-// platform is away knows nobody; who sends it a request has a view.
+// AddHint adds the address of a node that sent a request to this one. A node that restarts
+// during a platform outage has no addresses of other nodes; a node that sends it requests
+// has a view.
 func (f *Follower) AddHint(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -260,31 +269,31 @@
 	}
 }
 
-// maxHints is how many hints are followed at a time, the newest ones: who gave
-// an older one may have restarted since.
+// maxHints is how many hints are followed at a time. The newest ones are kept, as the
+// sender of an older one may have restarted since.
 const maxHints = 3
 
-// Age is how old the view is; negative when it never was current.
+// Age returns the age of the view, or a negative value if it was never current.
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Age(f.clock.Now())
 }
 
-// Serve hands the neighbour on a host the updates that it lacks until ctx ends or
-// send fails.
-func (f *Follower) Serve(ctx context.Context, host string, held mesh.Checkpoint, send func(*mesh.Update) error) error {
+// Serve sends a neighbour the updates that it lacks until ctx ends or send fails. Host is
+// the neighbour's host.
+func (f *Follower) Serve(ctx context.Context, host string, checkpoint mesh.Checkpoint, send func(*mesh.Update) error) error {
 	f.countFeed(host, 1)
 	defer f.countFeed(host, -1)
-	began := f.clock.Now()
+	start := f.clock.Now()
 	f.mu.Lock()
-	position := f.view.PositionFor(held)
+	position := f.view.PositionFor(checkpoint)
 	f.mu.Unlock()
 	for {
 		f.mu.Lock()
 		now := f.clock.Now()
 		update, next := f.view.Since(now, position)
-		update.SentOffset = now.Sub(began)
+		update.SentOffset = now.Sub(start)
 		changed := f.changed
 		f.mu.Unlock()
 		if err := send(update); err != nil {
@@ -294,16 +303,16 @@
 		if position.Pending() {
 			continue
 		}
-		awaitChange(ctx, changed, f.pace.beat)
+		awaitChange(ctx, changed, f.timing.heartbeatInterval)
 		if err := ctx.Err(); err != nil {
 			return err
 		}
 	}
 }
 
-// awaitChange waits for a change, for a time at most.
-func awaitChange(ctx context.Context, changed <-chan struct{}, atMost time.Duration) {
-	timer := time.NewTimer(atMost)
+// awaitChange waits until changed is closed, the given time has passed or ctx ends.
+func awaitChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -312,5 +321,5 @@
 	}
 }
 
-// pause waits between two reads of the platform.
+// pause waits between two reads of the platform. It returns false if ctx ends.
 func (f *Follower) pause(ctx context.Context, d time.Duration) bool { return wait.Sleep(ctx, d) }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -12,32 +12,34 @@
 	"tamarackquay/internal/mesh"
 )
 
-// inForceWithin is how soon a published version must be in force, with the
-// second that the users' own bound of 2.5 s leaves for slow VMs.
-const inForceWithin = 2200 * time.Millisecond
+// activeWithin is the time within which a published version must be active. The users'
+// bound is 2.5 s and leaves a second for slow VMs.
+const activeWithin = 2200 * time.Millisecond
 
-func simulate(t *testing.T, play func(t *testing.T, w *world)) {
-	simulateWithin(t, usualInForce, play)
+func simulate(t *testing.T, run func(t *testing.T, w *world)) {
+	simulateWithin(t, defaultPropagationBound, run)
 }
 
-// simulateWithin is the same with another bound for changes.
-func simulateWithin(t *testing.T, within time.Duration, play func(t *testing.T, w *world)) {
-	simulateFleet(t, within, perDomain, play)
+// simulateWithin is like simulate, with the given propagation bound.
+func simulateWithin(t *testing.T, bound time.Duration, run func(t *testing.T, w *world)) {
+	simulateFleet(t, bound, perDomain, run)
 }
 
-// simulateFleet is the same with so many nodes in each failure domain.
-func simulateFleet(t *testing.T, within time.Duration, perDomain int, play func(t *testing.T, w *world)) {
+// simulateFleet is like simulateWithin, with the given number of nodes in each failure
+// domain.
+func simulateFleet(t *testing.T, bound time.Duration, perDomain int, run func(t *testing.T, w *world)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(within, perDomain)
+		w := newWorld(bound, perDomain)
 		defer w.stop()
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(w.lagging(1)), 0, "%v", w.lagging(1))
-		play(t, w)
+		run(t, w)
 	})
 }
 
-// On a calm day one node of the region nearest to the platform reads it: one call
-// a second, and one more for each burst of changes.
+// Guards against reads of the platform that grow with the fleet. In steady state, one node
+// of the region nearest to the platform reads it: one call a second, plus one for each
+// burst of changes.
 func TestFewReadForAll(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
 		w.takeReads()
@@ -55,35 +57,35 @@
 	})
 }
 
-// A change is in force everywhere in time, whoever of the readers is lost just
-// before it and in whatever way.
+// Guards against changes that become active too late if readers are lost just before, in
+// any combination and in any way.
 func TestChangeIsInForceInTime(t *testing.T) {
 	for _, test := range []struct {
 		desc string
 		lose func(w *world, readers []string)
 	}{
 		{"nothing is broken", func(*world, []string) {}},
-		{"one reader is refused by the platform", func(w *world, r []string) { w.refused[r[0]] = true }},
-		{"all readers are refused by the platform", func(w *world, r []string) { w.refused[r[0]], w.refused[r[1]] = true, true }},
+		{"one reader is rejected by the platform", func(w *world, r []string) { w.rejected[r[0]] = true }},
+		{"all readers are rejected by the platform", func(w *world, r []string) { w.rejected[r[0]], w.rejected[r[1]] = true, true }},
 		{"one reader is cut off from everybody", func(w *world, r []string) { w.cut[r[0]] = true }},
 		{"all readers are cut off from everybody", func(w *world, r []string) { w.cut[r[0]], w.cut[r[1]] = true, true }},
 		{"the readers' processes end", func(w *world, r []string) {
 			for _, id := range r {
 				w.stops[id]()
-				// What has ended can't lag.
+				// A stopped node doesn't lag.
 				w.cut[id] = true
 			}
 		}},
-		{"both readers and those behind them are refused", func(w *world, _ []string) {
-			for _, id := range w.ranked(readers + 1) {
-				w.refused[id] = true
+		{"both readers and the nodes next in rank are rejected", func(w *world, _ []string) {
+			for _, id := range w.firstRanked(readers + 1) {
+				w.rejected[id] = true
 			}
 		}},
-		{"half of the nodes are refused, the readers among them", func(w *world, r []string) {
-			w.refused[r[0]], w.refused[r[1]] = true, true
+		{"half of the nodes are rejected, the readers among them", func(w *world, r []string) {
+			w.rejected[r[0]], w.rejected[r[1]] = true, true
 			for id := range w.nodes {
-				if len(w.refused) < len(w.nodes)/2 {
-					w.refused[id] = true
+				if len(w.rejected) < len(w.nodes)/2 {
+					w.rejected[id] = true
 				}
 			}
 		}},
@@ -96,36 +98,37 @@
 				test.lose(w, readers)
 				w.mu.Unlock()
 				w.publish(2)
-				time.Sleep(inForceWithin)
+				time.Sleep(activeWithin)
 				assert.Equal(t, len(w.lagging(2)), 0, "%v", w.lagging(2))
 			})
 		})
 	}
 }
 
-// The platform drops the history that a watch stands at, and a target leaves in
-// the gap. The listing that follows shows that it is gone.
+// Guards against a missed departure: the platform compacts the history after a watch's
+// position, and a target leaves in the gap. The listing that follows shows the removal.
 func TestDroppedHistoryLosesNoDeparture(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
-		w.platformAway()
+		w.failPlatform()
 		time.Sleep(1200 * time.Millisecond)
 		w.remove("a1-0")
 		w.mu.Lock()
-		w.dropped = w.revision
-		clear(w.refused)
+		w.compacted = w.revision
+		clear(w.rejected)
 		w.mu.Unlock()
-		time.Sleep(inForceWithin)
+		time.Sleep(activeWithin)
 		for id, f := range w.nodes {
-			assert.Assert(t, !f.knows("a1-0"), "%s", id)
+			assert.Assert(t, !f.hasMember("a1-0"), "%s", id)
 		}
 	})
 }
 
-// The platform is away for long and leases run out meanwhile. When it is back,
-// its list is empty for a moment. No node drops the targets, which renew.
+// Guards against dropping live targets after a long platform outage in which leases
+// expired. The platform's list is empty for a moment after its return, until the targets
+// renew.
 func TestLapsedLeasesEmptyNoView(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
-		w.platformAway()
+		w.failPlatform()
 		time.Sleep(8 * time.Second)
 		var targets []mesh.Target
 		w.mu.Lock()
@@ -136,7 +139,7 @@
 		for _, target := range targets {
 			w.remove(target.ID)
 		}
-		w.platformBack()
+		w.restorePlatform()
 		time.Sleep(1500 * time.Millisecond)
 		w.assertMembers(t, len(targets))
 		for _, target := range targets {
@@ -147,21 +150,21 @@
 	})
 }
 
-// A node that never read the platform, and knows its view from its neighbours,
-// is the first to reach the platform after a long outage. The list is empty for
-// a moment, until the targets renew. It drops none of them.
+// Guards against dropping live targets through a node that has received its view from
+// neighbours only and is the first to reach the platform after a long outage. The
+// platform's list is empty for a moment, until the targets renew.
 func TestNodeThatNeverReadDropsNobody(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
 		const fresh = "a1-0"
 		w.mu.Lock()
-		w.refused[fresh] = true
+		w.rejected[fresh] = true
 		w.stops[fresh]()
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		w.start(fresh)
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, len(w.lagging(1)), 0, "%v", w.lagging(1))
-		w.platformAway()
+		w.failPlatform()
 		time.Sleep(8 * time.Second)
 		w.mu.Lock()
 		targets := slices.Collect(maps.Keys(w.targets))
@@ -170,20 +173,21 @@
 			w.remove(id)
 		}
 		w.mu.Lock()
-		delete(w.refused, fresh)
+		delete(w.rejected, fresh)
 		w.mu.Unlock()
 		time.Sleep(1500 * time.Millisecond)
 		w.assertMembers(t, len(targets))
 	})
 }
 
-// A process restarts while the platform is away. It knows nobody until another
-// node sends it a request; from that node it gets its view.
+// Guards against a node that gets no view after a restart during a platform outage. It has
+// no addresses of other nodes until one of them sends it a request; it gets its view from
+// that node.
 func TestRestartWithoutPlatformLearnsFromWhoCalls(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
-		w.platformAway()
+		w.failPlatform()
 		w.mu.Lock()
-		w.quiet = true
+		w.announceOff = true
 		w.stops["a1-0"]()
 		w.mu.Unlock()
 		time.Sleep(time.Second)
@@ -196,11 +200,11 @@
 	})
 }
 
-// The same, but nobody sends it a request: its clients would be refused until the
-// platform is back. The readers of its region greet it.
+// The same, but no node sends it a request: its clients would be refused until the platform
+// is back. The readers of its region announce themselves to it.
 func TestRestartWithoutPlatformIsGreeted(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
-		w.platformAway()
+		w.failPlatform()
 		for _, id := range []string{w.readers()[0], "b2-1"} {
 			w.stops[id]()
 			time.Sleep(500 * time.Millisecond)
@@ -211,18 +215,18 @@
 	})
 }
 
-// The platform was away for long, and every node has tried it again and again.
-// It is back, the readers tell the others, and are then stopped just before a
-// change. The others step in at once: the pauses between their tries, which had
-// grown to seconds, ended when they had updates.
+// Guards against retry pauses that continue after a long outage, in which every node has
+// failed many times. The platform is back, the readers update the others and are stopped
+// just before a change. The others must fail over at once: their pauses, which had grown to
+// seconds, ended with the updates.
 func TestPausesEndWithTheOutage(t *testing.T) {
 	for outage := 6 * time.Second; outage <= 12*time.Second; outage += 500 * time.Millisecond {
 		t.Run(outage.String(), func(t *testing.T) {
 			simulate(t, func(t *testing.T, w *world) {
-				readers := w.ranked(readers)
-				w.platformAway()
+				readers := w.firstRanked(readers)
+				w.failPlatform()
 				time.Sleep(outage)
-				w.platformBack()
+				w.restorePlatform()
 				time.Sleep(800 * time.Millisecond)
 				w.mu.Lock()
 				for _, id := range readers {
@@ -231,20 +235,19 @@
 				}
 				w.mu.Unlock()
 				w.publish(2)
-				time.Sleep(inForceWithin)
+				time.Sleep(activeWithin)
 				assert.Equal(t, len(w.lagging(2)), 0, "%v", w.lagging(2))
 			})
 		})
 	}
 }
 
-// Operators of another platform want changes in force sooner or allow more time.
-// All readers are lost, or the platform turns them away, at any moment between two
-// of their reads: the change is in force within the bound all the same, with a
-// tenth of it to spare.
+// Guards against missing a shorter or longer propagation bound. All readers are lost, or
+// rejected by the platform, at any moment between two of their reads; the change must be
+// active within nine tenths of the bound.
 func TestChangeIsInForceWithinOtherBounds(t *testing.T) {
 	for _, within := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
-		for _, test := range losses {
+		for _, test := range readerLosses {
 			t.Run(within.String()+" "+test.desc, func(t *testing.T) {
 				simulateWithin(t, within, func(t *testing.T, w *world) {
 					for version, phase := uint64(2), 0*time.Second; phase < within/2; version, phase = version+1, phase+within/10 {
@@ -257,7 +260,7 @@
 						time.Sleep(within * 9 / 10)
 						assert.Equal(t, len(w.lagging(version)), 0, "after %s: %v", phase, w.lagging(version))
 						w.mu.Lock()
-						clear(w.refused)
+						clear(w.rejected)
 						clear(w.cut)
 						w.mu.Unlock()
 						time.Sleep(2 * within)
--- a/internal/follow/greet.go
+++ b/internal/follow/greet.go
@@ -7,16 +7,16 @@
 	"tamarackquay/internal/mesh"
 )
 
-// greetOthers lets nodes that should follow this one and don't know of it. A process
-// that restarts while the platform is away knows nobody: the nodes that it is to
-// follow, which have a view, know its VM. Nodes that follow already are left alone, so
-// that a calm region greets nobody.
-func (f *Follower) greetOthers(ctx context.Context) {
+// announceToFollowers announces this node to the nodes that should follow it and don't. A
+// process that restarts during a platform outage has no addresses of other nodes, but the
+// nodes that it should follow have a view that contains its VM. Nodes that already follow
+// this one are skipped, so no announcements are sent in a stable region.
+func (f *Follower) announceToFollowers(ctx context.Context) {
 	if f.config.Announce == nil {
 		return
 	}
-	for f.pause(ctx, greetInterval) {
-		for _, address := range f.strangers() {
+	for f.pause(ctx, announceInterval) {
+		for _, address := range f.missingFollowers() {
 			if ctx.Err() != nil {
 				return
 			}
@@ -25,30 +25,31 @@
 	}
 }
 
-// greetIfLost greets a reader that has restarted and knows nothing, where this
-// node does: all readers of a region may restart at once.
-func (f *Follower) greetIfLost(ctx context.Context, address string, update *mesh.Update) {
+// announceIfEmpty announces this node to a reader that has restarted without a view, if
+// this node has one: all readers of a region may restart at once.
+func (f *Follower) announceIfEmpty(ctx context.Context, address string, update *mesh.Update) {
 	if f.config.Announce == nil || update.Age >= 0 || f.Age() < 0 {
 		return
 	}
 	f.config.Announce(ctx, address)
 }
 
-// strangers are the nodes that should follow this one and don't.
-func (f *Follower) strangers() []string {
+// missingFollowers returns the addresses of the nodes that should follow this one and
+// don't.
+func (f *Follower) missingFollowers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view.Table() == nil {
 		return nil
 	}
-	var strangers []string
-	for _, vm := range f.currentOrder().followers() {
+	var missing []string
+	for _, vm := range f.currentTopology().followers() {
 		if f.feeds[HostOf(vm.PeerAddress)] == 0 {
-			strangers = append(strangers, vm.PeerAddress)
+			missing = append(missing, vm.PeerAddress)
 		}
 	}
-	slices.Sort(strangers)
-	return strangers
+	slices.Sort(missing)
+	return missing
 }
 
 func (f *Follower) countFeed(host string, n int) {
--- a/internal/follow/large_test.go
+++ b/internal/follow/large_test.go
@@ -17,10 +17,10 @@
 // A large fleet has two regions of a hundred nodes each.
 const (
 	largePerDomain = 50
-	largeWithin    = 4 * time.Second
-	// smallLink is 14 Mbit/s.
+	largeBound     = 4 * time.Second
+	// smallLink is 14 Mbit/s in bytes per second.
 	smallLink = 14e6 / 8
-	// manyRoutes is a large configuration.
+	// manyRoutes is the number of routes of a large configuration.
 	manyRoutes = 1400
 )
 
@@ -32,11 +32,12 @@
 	return made
 }
 
-// someNodes draws a part of the nodes, the readers of each region among them if asked for.
+// someNodes returns a random part of the nodes, including the readers of each region if
+// withReaders is set.
 func (w *world) someNodes(random *rand.Rand, part float64, withReaders bool) []string {
 	var drawn []string
 	if withReaders {
-		drawn = w.ranked(readers)
+		drawn = w.firstRanked(readers)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,10 +55,10 @@
 	return drawn
 }
 
-// Guards against a change that takes longer the more nodes follow a reader over a small
-// link, and against departures that wait behind it.
+// Guards against a change that takes longer the more nodes follow a reader over a slow
+// link, and against departures that are queued behind it.
 func TestLargeFleetLearnsSoon(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.linkRate = smallLink
 		w.mu.Unlock()
@@ -66,54 +67,55 @@
 		w.remove("a1-7")
 		time.Sleep(time.Second)
 		assert.Equal(t, len(w.lagging(2)), 0, "%v", w.lagging(2))
-		used := w.stillUsed("a1-7")
+		used := w.nodesUsing("a1-7")
 		assert.Equal(t, len(used), 0, "%v", used)
 		most, _ := w.takeSent()
-		// Each feed carries the routes once, and some nodes serve more feeds than most.
-		assert.Assert(t, most <= 3*spread.Most*(routeBytes*manyRoutes+entryBytes+20*beatBytes), "%d bytes", most)
+		// Each feed carries the routes once, and some nodes serve more feeds than
+		// fanout.Most.
+		assert.Assert(t, most <= 3*fanout.Most*(routeBytes*manyRoutes+entryBytes+20*heartbeatBytes), "%d bytes", most)
 	})
 }
 
-// Guards against a departure that waits behind a large configuration where callers leave a
-// tenth of the links.
+// Guards against a departure that is queued behind a large configuration if callers leave
+// only a tenth of the links' capacity.
 func TestDepartureGoesBeforeALargeChange(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.linkRate = smallLink / 10
 		w.mu.Unlock()
 		w.publish(2, routes(manyRoutes)...)
 		time.Sleep(300 * time.Millisecond)
-		assert.Assert(t, len(w.lagging(2)) > 0, "the change was there at once")
+		assert.Assert(t, len(w.lagging(2)) > 0, "the change arrived at once")
 		w.remove("a1-7")
 		time.Sleep(time.Second)
-		used := w.stillUsed("a1-7")
+		used := w.nodesUsing("a1-7")
 		assert.Equal(t, len(used), 0, "%v", used)
 	})
 }
 
-// Guards against nodes that take a configuration which is long on its way for the loss of
-// who sends it: they would follow the readers as well, whose links are the fuller for that,
-// and read the platform themselves.
+// Guards against nodes that treat a slow transfer of a configuration as the loss of its
+// sender. They would also follow the readers, which adds load to their saturated links, and
+// read the platform themselves.
 func TestLargeChangeOnFullLinksMovesNobody(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.linkRate = smallLink / 10
 		w.mu.Unlock()
 		w.takeReads()
 		w.takeSent()
 		w.publish(2, routes(manyRoutes)...)
-		time.Sleep(largeWithin)
+		time.Sleep(largeBound)
 		assert.Equal(t, len(w.lagging(2)), 0, "%v", w.lagging(2))
 		reads := w.takeReads()
-		assert.Assert(t, reads <= int(largeWithin/time.Second)+2, "%d reads", reads)
+		assert.Assert(t, reads <= int(largeBound/time.Second)+2, "%d reads", reads)
 		most, _ := w.takeSent()
-		assert.Assert(t, most <= 3*spread.Most*(routeBytes*manyRoutes+entryBytes+40*beatBytes), "%d bytes", most)
+		assert.Assert(t, most <= 3*fanout.Most*(routeBytes*manyRoutes+entryBytes+40*heartbeatBytes), "%d bytes", most)
 	})
 }
 
-// Guards against beats and reads at rest that grow with the fleet.
+// Guards against heartbeats and reads in steady state that grow with the fleet.
 func TestLargeFleetAtRest(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		time.Sleep(10 * time.Second)
 		w.takeReads()
 		w.takeSent()
@@ -128,21 +130,21 @@
 }
 
 // Guards against nodes that learn of a departure too late because the nodes between them
-// and the platform are lost with the readers.
+// and the platform are lost along with the readers.
 func TestLargeFleetLearnsThoughManyAreLost(t *testing.T) {
 	for _, test := range []struct {
 		desc        string
 		part        float64
 		withReaders bool
 		lose        func(w *world, id string)
-		// grace is for how long a target that left may stay in use besides: entries that
-		// go in an outage of the platform may come back.
+		// grace is how much longer a departed target may stay in use: entries removed
+		// during a platform outage may come back.
 		grace time.Duration
 	}{
 		{"a third cut off from everybody", 0.33, false, func(w *world, id string) { w.cut[id] = true }, 0},
 		{"a third cut off, the readers among them", 0.33, true, func(w *world, id string) { w.cut[id] = true }, 0},
-		{"the readers turned away by the platform", 0, true, func(w *world, id string) { w.refused[id] = true }, 0},
-		{"a third turned away by the platform, the readers among them", 0.33, true, func(w *world, id string) { w.refused[id] = true }, mesh.SuspectGrace},
+		{"the readers rejected by the platform", 0, true, func(w *world, id string) { w.rejected[id] = true }, 0},
+		{"a third rejected by the platform, the readers among them", 0.33, true, func(w *world, id string) { w.rejected[id] = true }, mesh.SuspectGrace},
 		{"half of the processes end, the readers among them", 0.5, true, func(w *world, id string) {
 			w.stops[id]()
 			w.cut[id] = true
@@ -150,7 +152,7 @@
 	} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(test.desc, " ", seed), func(t *testing.T) {
-				simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+				simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 					random := rand.New(rand.NewPCG(seed, 1))
 					time.Sleep(time.Duration(random.Int64N(int64(2 * time.Second))))
 					lost := w.someNodes(random, test.part, test.withReaders)
@@ -161,10 +163,10 @@
 					w.mu.Unlock()
 					w.remove("a1-7")
 					w.publish(2)
-					time.Sleep(largeWithin * 9 / 10)
+					time.Sleep(largeBound * 9 / 10)
 					assert.Equal(t, len(w.lagging(2)), 0, "%v", w.lagging(2))
 					time.Sleep(test.grace)
-					used := slices.DeleteFunc(w.stillUsed("a1-7"), func(id string) bool { return w.cut[id] })
+					used := slices.DeleteFunc(w.nodesUsing("a1-7"), func(id string) bool { return w.cut[id] })
 					assert.Equal(t, len(used), 0, "%v", used)
 				})
 			})
@@ -172,25 +174,25 @@
 	}
 }
 
-// Guards against listings of the whole platform by each node that steps in for a reader,
-// when the platform has dropped what came after its own last read: it knows the view up to
-// a moment ago.
+// Guards against a full listing by each node that fails over after the platform has
+// compacted the changes since the node's own last read. The node's view is recent enough to
+// watch from.
 func TestSteppingInListsNothing(t *testing.T) {
-	simulateFleet(t, largeWithin, perDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, perDomain, func(t *testing.T, w *world) {
 		w.publish(2)
-		time.Sleep(largeWithin)
-		lost := w.ranked(readers)
+		time.Sleep(largeBound)
+		lost := w.firstRanked(readers)
 		w.mu.Lock()
 		before := w.lists
-		w.dropped = w.revision
+		w.compacted = w.revision
 		for _, id := range lost {
 			w.cut[id] = true
 		}
 		w.mu.Unlock()
 		w.remove("a1-0")
-		time.Sleep(largeWithin)
+		time.Sleep(largeBound)
 		for id, f := range w.nodes {
-			assert.Check(t, w.cut[id] || !f.knows("a1-0"), "%s", id)
+			assert.Check(t, w.cut[id] || !f.hasMember("a1-0"), "%s", id)
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -198,7 +200,7 @@
 	})
 }
 
-// restartAll ends all processes at once and starts them again.
+// restartAll stops all processes at once and starts them again.
 func (w *world) restartAll() {
 	var ids []string
 	for id := range w.nodes {
@@ -213,8 +215,8 @@
 	}
 }
 
-// current returns how many nodes hold a view that was known to be current within a time.
-func (w *world) current(within time.Duration) int {
+// countCurrent returns the number of nodes whose view was current within the given time.
+func (w *world) countCurrent(within time.Duration) int {
 	count := 0
 	for _, f := range w.nodes {
 		if age := f.Age(); age >= 0 && age <= within {
@@ -224,30 +226,30 @@
 	return count
 }
 
-// Guards against nodes that restart while callers wait and get their view late, over
+// Guards against nodes that restart while callers wait and get their view late, through
 // several other nodes that restart as well.
 func TestRestartOfAllIsCurrentAtOnce(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		const answering = 200 * time.Millisecond
 		w.mu.Lock()
-		w.answering = answering
+		w.responseDelay = answering
 		w.mu.Unlock()
 		w.publish(2)
 		w.restartAll()
 		w.takeReads()
 		time.Sleep(answering + 10*time.Millisecond)
-		assert.Equal(t, w.current(time.Second), len(w.nodes))
+		assert.Equal(t, w.countCurrent(time.Second), len(w.nodes))
 		assert.Equal(t, len(w.lagging(2)), 0, "%v", w.lagging(2))
 	})
 }
 
-// Guards against a node that starts from an old listing and serves routes that are gone,
-// or gives work to a target that left.
+// Guards against a node that starts from a stale listing and serves removed routes, or
+// sends requests to a departed target.
 func TestStartFromAnOldListing(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		w.publish(2)
 		w.remove("a1-7")
-		time.Sleep(cheapAge / 2)
+		time.Sleep(staleListAge / 2)
 		w.firstStart = true
 		w.restartAll()
 		for range 100 {
@@ -261,34 +263,34 @@
 				}
 			}
 		}
-		assert.Equal(t, w.current(time.Second), len(w.nodes))
+		assert.Equal(t, w.countCurrent(time.Second), len(w.nodes))
 	})
 }
 
-// Guards against a node that waits for neighbours which know nothing either: the platform
-// turns the readers away.
+// Guards against a node that waits for neighbours that have no view either, because the
+// platform rejects the readers.
 func TestStartWithoutReaders(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
-		first := w.ranked(readers)
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
+		first := w.firstRanked(readers)
 		w.mu.Lock()
 		for _, id := range first {
-			w.refused[id] = true
+			w.rejected[id] = true
 		}
 		w.firstStart = true
 		w.mu.Unlock()
 		w.restartAll()
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, w.current(2*time.Second), len(w.nodes))
+		assert.Equal(t, w.countCurrent(2*time.Second), len(w.nodes))
 	})
 }
 
-// Guards against a node that outlives its stop because it greets others, one after
-// another, that are cut off.
+// Guards against a node that doesn't stop in time because it is announcing itself to
+// unreachable nodes, one after another.
 func TestStopEndsGreetings(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
-		first := w.ranked(1)
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
+		first := w.firstRanked(1)
 		w.mu.Lock()
-		w.greeting = 200 * time.Millisecond
+		w.announceDelay = 200 * time.Millisecond
 		for id := range w.nodes {
 			w.cut[id] = !slices.Contains(first, id)
 		}
@@ -302,38 +304,39 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, id := range first {
-			assert.Assert(t, w.ended[id].Sub(stopped) <= w.greeting, "%s after %s", id, w.ended[id].Sub(stopped))
+			assert.Assert(t, w.endedAt[id].Sub(stopped) <= w.announceDelay, "%s after %s", id, w.endedAt[id].Sub(stopped))
 		}
 	})
 }
 
-// Guards against an outage of the platform in which every node of a large fleet goes on
-// asking it, and against one whose end is noticed late for that.
+// Guards against an outage in which every node of a large fleet keeps calling the platform,
+// and against detecting its end late because fewer nodes call.
 func TestOutageIsAskedForByFew(t *testing.T) {
 	const outage = 8 * time.Second
 	for _, perDomain := range []int{perDomain, largePerDomain} {
 		t.Run(fmt.Sprint(4*perDomain, " VMs"), func(t *testing.T) {
-			simulateFleet(t, largeWithin, perDomain, func(t *testing.T, w *world) {
-				w.platformAway()
+			simulateFleet(t, largeBound, perDomain, func(t *testing.T, w *world) {
+				w.failPlatform()
 				time.Sleep(outage)
 				w.mu.Lock()
-				tries := w.tries
+				calls := w.rejectedCalls
 				w.mu.Unlock()
-				// Those that step in first in two regions, once a second, and as many others.
-				assert.Assert(t, tries <= 2*2*firstToStepIn*int(outage/time.Second), "%d calls", tries)
-				w.platformBack()
+				// The nodes of two regions that fail over first, once a second, and as many
+				// others.
+				assert.Assert(t, calls <= 2*2*failoverNodes*int(outage/time.Second), "%d calls", calls)
+				w.restorePlatform()
 				w.publish(2)
-				time.Sleep(largeWithin / 2)
+				time.Sleep(largeBound / 2)
 				assert.Equal(t, len(w.lagging(2)), 0, "%v", w.lagging(2))
 			})
 		})
 	}
 }
 
-// Guards against a first start of a whole fleet that lists the platform as often as it has
-// nodes, each of which finds nobody else listed yet.
+// Guards against a first start of the whole fleet with one full listing per node, because
+// each node finds no other node listed yet.
 func TestFirstStartReadsLittle(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		// The targets are listed one by one while the nodes start.
 		for id := range w.targets {
 			w.stops[id]()
@@ -342,7 +345,7 @@
 		targets := w.targets
 		w.targets = map[string]mesh.Target{}
 		w.history, w.recorded = nil, nil
-		w.reads, w.cheap = 0, 0
+		w.reads, w.staleLists = 0, 0
 		w.firstStart = true
 		w.mu.Unlock()
 		w.publish(2)
@@ -358,7 +361,7 @@
 		}
 		time.Sleep(6 * time.Second)
 		w.assertMembers(t, len(targets))
-		assert.Equal(t, w.current(2*time.Second), len(targets))
+		assert.Equal(t, w.countCurrent(2*time.Second), len(targets))
 		reads := w.takeReads()
 		assert.Assert(t, reads <= len(targets)/2, "%d reads", reads)
 	})
--- a/internal/follow/late_test.go
+++ b/internal/follow/late_test.go
@@ -10,12 +10,12 @@
 	"tamarackquay/internal/mesh"
 )
 
-// leftWithin is the platform's bound for the time after which no work reaches a
-// target that left.
-const leftWithin = 3 * time.Second
+// departureBound is the platform's bound for the time after which no request reaches a
+// departed target.
+const departureBound = 3 * time.Second
 
-// stillUsed returns the nodes that would give work to the target.
-func (w *world) stillUsed(target string) []string {
+// nodesUsing returns the nodes that would send requests to the target.
+func (w *world) nodesUsing(target string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var found []string
@@ -30,59 +30,57 @@
 	return found
 }
 
-// Users saw two lookups reach a target 3.05 s after the platform had confirmed that
-// it left; 3 s are allowed. Links were full: the removal of its entry came to the
-// nodes that read the platform in one answer with a change of 1,800 routes. Cause: an
-// old view was taken for an outage of the platform, so the target got the grace of one
-// whose lease ran out. Evidence: in a replay its entry went from "ready" to "gone", in
-// one update with the change, and no read failed near that moment; here the same order
-// of events keeps it in use for over 3 s if age alone decides.
+// Guards against requests to a target beyond the bound of 3 s after its departure was
+// confirmed; 3.05 s were observed. On full links, the removal reached the readers in one
+// late response together with a change of 1,800 routes. The resulting age of the view was
+// taken for a platform outage, although no read had failed, and the target got the grace
+// period of an expired lease. If age alone decides on an outage, these events keep the
+// target in use for over 3 s.
 func TestLateAnswerKeepsNoTargetThatLeft(t *testing.T) {
-	simulateWithin(t, leftWithin, func(t *testing.T, w *world) {
+	simulateWithin(t, departureBound, func(t *testing.T, w *world) {
 		w.mu.Lock()
-		w.answering = 2200 * time.Millisecond
+		w.responseDelay = 2200 * time.Millisecond
 		w.mu.Unlock()
 		for i, target := range []string{"a1-0", "a2-1", "b1-2", "b2-0"} {
 			time.Sleep(10*time.Second + time.Duration(i)*300*time.Millisecond)
 			w.remove(target)
-			time.Sleep(leftWithin)
-			used := w.stillUsed(target)
+			time.Sleep(departureBound)
+			used := w.nodesUsing(target)
 			assert.Equal(t, len(used), 0, "%s, by %v", target, used)
 		}
 	})
 }
 
-// Guards against taking updates for fresh that come later and later over a full link,
-// but never stop: nobody would step in for the reader, and a target that left stays in
-// use.
+// Guards against treating updates as fresh that arrive later and later over a saturated
+// link but never stop: no node would fail over, and a departed target would stay in use.
 func TestLateFeedsKeepNoTargetThatLeft(t *testing.T) {
-	simulateWithin(t, leftWithin, func(t *testing.T, w *world) {
-		const filling, longest = 8 * time.Second, 4 * time.Second
-		began := time.Now()
+	simulateWithin(t, departureBound, func(t *testing.T, w *world) {
+		const rampUp, maxDelay = 8 * time.Second, 4 * time.Second
+		start := time.Now()
 		w.mu.Lock()
-		w.queued = func(string) time.Duration {
-			return min(longest, time.Since(began)/(filling/longest))
+		w.queueDelay = func(string) time.Duration {
+			return min(maxDelay, time.Since(start)/(rampUp/maxDelay))
 		}
 		w.mu.Unlock()
-		time.Sleep(filling)
+		time.Sleep(rampUp)
 		w.remove("a1-0")
-		time.Sleep(leftWithin)
-		used := w.stillUsed("a1-0")
+		time.Sleep(departureBound)
+		used := w.nodesUsing("a1-0")
 		assert.Equal(t, len(used), 0, "%v", used)
 	})
 }
 
-// Guards against counting the draining of a target from the arrival of a late update: its
-// own node would give it work for longer than the platform allows. Only the readers read
-// the platform, so that all others learn it from them.
+// Guards against dating a target's draining by the arrival of a late update: its own node
+// would send it requests for longer than the platform allows. Only the readers read the
+// platform, so that all other nodes learn of the draining from them.
 func TestDrainingCountsFromItsFirstWord(t *testing.T) {
 	const late = 700 * time.Millisecond
-	simulateWithin(t, leftWithin, func(t *testing.T, w *world) {
+	simulateWithin(t, departureBound, func(t *testing.T, w *world) {
 		readers := w.readers()
 		w.mu.Lock()
-		w.queued = func(string) time.Duration { return late }
+		w.queueDelay = func(string) time.Duration { return late }
 		for id := range w.nodes {
-			w.refused[id] = !slices.Contains(readers, id)
+			w.rejected[id] = !slices.Contains(readers, id)
 		}
 		w.mu.Unlock()
 		time.Sleep(3 * time.Second)
@@ -99,17 +97,17 @@
 	})
 }
 
-// Guards against work that reaches a draining target beyond the bound where its own node
-// learned of it as late as updates may come: all readers are lost just before.
+// Guards against requests to a draining target beyond the bound if its own node learned of
+// the draining as late as is allowed, because all readers were lost just before.
 func TestDrainingTargetGetsNoWorkBeyondTheBound(t *testing.T) {
-	for _, within := range []time.Duration{1500 * time.Millisecond, usualInForce, leftWithin, 5 * time.Second} {
-		for _, test := range losses {
+	for _, within := range []time.Duration{1500 * time.Millisecond, defaultPropagationBound, departureBound, 5 * time.Second} {
+		for _, test := range readerLosses {
 			t.Run(within.String()+" "+test.desc, func(t *testing.T) {
 				simulateWithin(t, within, func(t *testing.T, w *world) {
 					for phase := 0 * time.Second; phase < within/2; phase += within / 10 {
 						time.Sleep(2*within + phase)
 						w.mu.Lock()
-						clear(w.refused)
+						clear(w.rejected)
 						clear(w.cut)
 						w.mu.Unlock()
 						time.Sleep(4 * within)
@@ -132,8 +130,8 @@
 	}
 }
 
-// assertWorkEnds checks that every node would give a draining target its last work
-// before a time.
+// assertWorkEnds checks that every node would send a draining target its last request
+// before the given time.
 func (w *world) assertWorkEnds(t *testing.T, target string, end time.Time, drainWork time.Duration) {
 	t.Helper()
 	w.mu.Lock()
@@ -145,7 +143,7 @@
 		f.mu.Lock()
 		member := f.view.Members()[target]
 		f.mu.Unlock()
-		assert.Check(t, member != nil && member.State == mesh.Draining, "%s doesn't know", id)
+		assert.Check(t, member != nil && member.State == mesh.Draining, "%s has not recorded the draining", id)
 		assert.Check(t, !member.DrainingSince.Add(drainWork).After(end), "%s: %s late", id, member.DrainingSince.Add(drainWork).Sub(end))
 	}
 }
--- a/internal/follow/measure_test.go
+++ b/internal/follow/measure_test.go
@@ -11,18 +11,18 @@
 	"tamarackquay/internal/distribution"
 )
 
-// spreadResult is what one way of spreading took in one fleet.
-type spreadResult struct {
+// fanoutResult holds the measurements of one fanout in one fleet.
+type fanoutResult struct {
 	departure, change time.Duration
 	busiest           int
 	readsPerMinute    int
 }
 
-// measureSpread plays a departure and a change of many routes in one fleet, on links of
-// which callers leave a part free.
-func measureSpread(t *testing.T, perDomain int, free float64) spreadResult {
-	var result spreadResult
-	simulateFleet(t, largeWithin, perDomain, func(_ *testing.T, w *world) {
+// measureFanout simulates a departure and a change of many routes in one fleet, on links of
+// which callers leave the given part free.
+func measureFanout(t *testing.T, perDomain int, free float64) fanoutResult {
+	var result fanoutResult
+	simulateFleet(t, largeBound, perDomain, func(_ *testing.T, w *world) {
 		const rest = 20 * time.Second
 		w.takeReads()
 		time.Sleep(rest)
@@ -33,17 +33,17 @@
 		w.takeSent()
 		w.publish(2, routes(manyRoutes)...)
 		w.remove("a1-0")
-		began := time.Now()
+		start := time.Now()
 		for result.departure == 0 || result.change == 0 {
 			time.Sleep(10 * time.Millisecond)
-			took := time.Since(began)
-			if result.departure == 0 && len(w.stillUsed("a1-0")) == 0 {
-				result.departure = took
+			elapsed := time.Since(start)
+			if result.departure == 0 && len(w.nodesUsing("a1-0")) == 0 {
+				result.departure = elapsed
 			}
 			if result.change == 0 && len(w.lagging(2)) == 0 {
-				result.change = took
+				result.change = elapsed
 			}
-			if took > time.Minute {
+			if elapsed > time.Minute {
 				break
 			}
 		}
@@ -52,14 +52,14 @@
 	return result
 }
 
-// TestMeasureSpread prints how ways of spreading grow with the fleet.
+// TestMeasureSpread prints how the cost of several fanouts grows with the fleet.
 func TestMeasureSpread(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
 		t.Skip("set MEASURE=1 to measure")
 	}
-	built := spread
-	defer func() { spread = built }()
-	for _, way := range []struct {
+	original := fanout
+	defer func() { fanout = original }()
+	for _, variant := range []struct {
 		desc  string
 		feeds distribution.Feeds
 	}{
@@ -68,45 +68,45 @@
 		{"levels of 24", distribution.Feeds{Readers: readers, Most: 24}},
 		{"levels of 48", distribution.Feeds{Readers: readers, Most: 48}},
 	} {
-		t.Run(way.desc, func(t *testing.T) {
-			spread = way.feeds
+		t.Run(variant.desc, func(t *testing.T) {
+			fanout = variant.feeds
 			for _, perDomain := range []int{8, 25, 75, 250, 400} {
 				for _, free := range []float64{1, 0.5, 0.1} {
-					r := measureSpread(t, perDomain, free)
+					r := measureFanout(t, perDomain, free)
 					fmt.Printf("%-13s %5d VMs, link %3.0f%% free: departure %6s, change %6s, busiest node %7d bytes, %d reads a minute\n",
-						way.desc, 4*perDomain, 100*free, r.departure, r.change, r.busiest, r.readsPerMinute)
+						variant.desc, 4*perDomain, 100*free, r.departure, r.change, r.busiest, r.readsPerMinute)
 				}
 			}
 		})
 	}
 }
 
-// TestMeasureNotices prints how soon all nodes know under which request three targets
-// crashed, and what it takes, in fleets of several sizes on links of which callers leave a
-// tenth.
+// TestMeasureNotices prints how soon all nodes quarantine a request under which three
+// targets crashed, and the bytes sent, in fleets of several sizes on links of which callers
+// leave a tenth free.
 func TestMeasureNotices(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
 		t.Skip("set MEASURE=1 to measure")
 	}
 	for _, perDomain := range []int{8, 25, 74, 250} {
-		simulateFleet(t, largeWithin, perDomain, func(t *testing.T, w *world) {
+		simulateFleet(t, largeBound, perDomain, func(t *testing.T, w *world) {
 			w.mu.Lock()
 			w.linkRate = smallLink / 10
-			clear(w.noticed)
+			clear(w.noticeBytes)
 			w.mu.Unlock()
-			w.crashThree(w.otherNodes(nil))
+			w.crashThreeTargets(w.nodesExcept(nil))
 			begin := time.Now()
-			for len(w.unaware(poison)) > 0 && time.Since(begin) < knownWithin {
+			for len(w.notQuarantining(poison)) > 0 && time.Since(begin) < knownWithin {
 				time.Sleep(10 * time.Millisecond)
 			}
 			known := time.Since(begin)
 			time.Sleep(time.Second)
 			most, all := 0, 0
-			for _, bytes := range w.noticed {
+			for _, bytes := range w.noticeBytes {
 				most = max(most, bytes)
 				all += bytes
 			}
-			t.Logf("%d VMs: known by all %s after the third was told; busiest node %d bytes, mean %d", 4*perDomain, known, most, all/(4*perDomain))
+			t.Logf("%d VMs: known by all %s after the third report; busiest node %d bytes, mean %d", 4*perDomain, known, most, all/(4*perDomain))
 		})
 	}
 }
--- a/internal/follow/neighbours.go
+++ b/internal/follow/neighbours.go
@@ -12,26 +12,26 @@
 	"tamarackquay/internal/mesh"
 )
 
-// readers is how many readers a region has: the one that reads and the one that steps in
-// first.
+// readers is the number of readers per region: the active one and the first standby.
 const readers = 2
 
-// spread bounds the feeds that a node serves. A reader that fed a whole region of some
-// hundred nodes sent each change over its link as often, and spent its processor time on
-// beats.
-var spread = distribution.Feeds{Readers: readers, Most: 8}
+// fanout bounds the feeds that a node serves. Without it, a reader in a region of some
+// hundred nodes sent each change over its link that many times, and spent its CPU time on
+// heartbeats.
+var fanout = distribution.Feeds{Readers: readers, Most: 8}
 
-// staleParents is how many nodes of its region a node follows whose view is old
-// though it tries to read the platform itself. The platform may turn away this
-// node and both readers while it answers others, which then read for themselves;
-// with a third of the nodes turned away, all of eight are in one case of 4,000.
-const staleParents = 8
+// fallbackParents is the number of nodes of its region that a node with a stale view
+// follows in addition to trying to read the platform itself. The platform may reject this
+// node and both readers while it answers other nodes, which then read it themselves. If a
+// third of the nodes are rejected, all eight of these nodes are rejected in one case out of
+// 4,000.
+const fallbackParents = 8
 
-// neighbours are the addresses of the nodes to follow.
+// neighbours returns the addresses of the nodes to follow.
 func (f *Follower) neighbours() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	o := f.currentOrder()
+	o := f.currentTopology()
 	var chosen []string
 	add := func(address string) {
 		if address != f.config.Self && !slices.Contains(chosen, address) {
@@ -42,14 +42,14 @@
 		add(vm.PeerAddress)
 	}
 	orphaned := f.orphaned()
-	if orphaned || f.view.Lag(f.clock.Now()) > f.pace.moreParentsAfter {
-		for _, vm := range o.first(staleParents) {
+	if orphaned || f.view.Lag(f.clock.Now()) > f.timing.moreParentsAfter {
+		for _, vm := range o.first(fallbackParents) {
 			add(vm.PeerAddress)
 		}
 	}
-	if o.rank < readers || orphaned && o.rank < firstToStepIn {
-		for _, region := range o.strangers {
-			for _, vm := range f.reachable(region) {
+	if o.rank < readers || orphaned && o.rank < failoverNodes {
+		for _, region := range o.remoteReaders {
+			for _, vm := range f.firstReachable(region) {
 				add(vm.PeerAddress)
 			}
 		}
@@ -62,12 +62,12 @@
 	return chosen
 }
 
-// sources are the nodes of the region that updates come from: this node's parents, and
-// the readers as well while a parent's feed is broken or its updates are late. It must be
-// called with the mutex held.
+// sources returns the nodes of the region from which updates are received: this node's
+// parents, and also the readers while a parent's feed is broken or updates are late. It
+// must be called with the mutex held.
 func (f *Follower) sources() []membership.VM {
-	o := f.currentOrder()
-	late := f.view.Lag(f.clock.Now()) > f.pace.fartherAfter
+	o := f.currentTopology()
+	late := f.view.Lag(f.clock.Now()) > f.timing.farReaderAfter
 	for _, vm := range o.parents {
 		late = late || f.broken[vm.PeerAddress]
 	}
@@ -77,15 +77,16 @@
 	return o.parents
 }
 
-// reachable returns the first of some VMs and, while its feed is broken, the next ones up to
-// the first two whose feeds aren't. It must be called with the mutex held.
-func (f *Follower) reachable(vms []membership.VM) []membership.VM {
-	sound := 0
+// firstReachable returns only the first of the VMs unless the feed to it is broken. In that
+// case it returns the VMs up to and including the second one whose feed is not broken. It
+// must be called with the mutex held.
+func (f *Follower) firstReachable(vms []membership.VM) []membership.VM {
+	working := 0
 	for i, vm := range vms {
 		if !f.broken[vm.PeerAddress] {
-			sound++
+			working++
 		}
-		if sound == readers || i == 0 && sound == 1 {
+		if working == readers || i == 0 && working == 1 {
 			return vms[:i+1]
 		}
 	}
@@ -112,15 +113,15 @@
 			if feeds[address] == nil {
 				feedCtx, stop := context.WithCancel(ctx)
 				feeds[address] = stop
-				go f.followOne(feedCtx, address)
+				go f.followNeighbour(feedCtx, address)
 			}
 		}
 		f.await(ctx, f.untilMoreNeighbours())
 	}
 }
 
-// untilMoreNeighbours is in what time this node may have to follow others, if it hears
-// nothing until then.
+// untilMoreNeighbours returns the time until this node may have to follow further nodes if
+// it receives no update before.
 func (f *Follower) untilMoreNeighbours() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,14 +129,14 @@
 	switch {
 	case f.view.Table() == nil || lag < 0:
 		return 0
-	case lag < f.pace.fartherAfter:
-		return f.pace.fartherAfter - lag
+	case lag < f.timing.farReaderAfter:
+		return f.timing.farReaderAfter - lag
 	}
-	return f.pace.moreParentsAfter - lag
+	return f.timing.moreParentsAfter - lag
 }
 
-// refollow is the pause before a broken feed is opened again.
-const refollow = 300 * time.Millisecond
+// reconnectDelay is the pause before a broken feed is reopened.
+const reconnectDelay = 300 * time.Millisecond
 
 func (f *Follower) setBroken(address string, broken bool) {
 	f.mu.Lock()
@@ -148,8 +149,8 @@
 	f.wake()
 }
 
-// orphaned reports whether the feeds of all nodes that updates come from have broken. It
-// must be called with the mutex held.
+// orphaned reports whether the feeds of all sources are broken. It must be called with the
+// mutex held.
 func (f *Follower) orphaned() bool {
 	followed := 0
 	for _, vm := range f.sources() {
@@ -164,23 +165,23 @@
 	return followed > 0
 }
 
-func (f *Follower) followOne(ctx context.Context, address string) {
+func (f *Follower) followNeighbour(ctx context.Context, address string) {
 	defer f.setBroken(address, false)
 	lost := false
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		held := f.view.Checkpoint()
+		checkpoint := f.view.Checkpoint()
 		f.mu.Unlock()
-		feed := transit{opened: f.clock.Now()}
-		err := f.feed.Follow(ctx, address, held, func(update *mesh.Update) error {
-			sent := feed.sentAt(update.SentOffset, f.clock.Now())
+		clock := feedClock{openedAt: f.clock.Now()}
+		err := f.feed.Follow(ctx, address, checkpoint, func(update *mesh.Update) error {
+			sent := clock.sentAt(update.SentOffset, f.clock.Now())
 			if lost {
 				lost = false
 				f.setBroken(address, false)
 				f.log.Info().Str(logfield.Neighbour, address).Msg("neighbour regained")
 			}
-			f.noteNearer(update, sent)
-			f.greetIfLost(ctx, address, update)
+			f.recordNearerReader(update, sent)
+			f.announceIfEmpty(ctx, address, update)
 			return f.apply(update, sent)
 		})
 		if ctx.Err() != nil {
@@ -191,11 +192,11 @@
 			f.setBroken(address, true)
 			f.log.Info().Str(logfield.Neighbour, address).Err(err).Msg("neighbour lost")
 		}
-		f.pause(ctx, refollow)
+		f.pause(ctx, reconnectDelay)
 	}
 }
 
-// HostOf returns the host of an address, or the address without one.
+// HostOf returns the host part of an address, or the address itself if it has no port.
 func HostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/follow/notices.go
+++ b/internal/follow/notices.go
@@ -6,20 +6,20 @@
 	"tamarackquay/internal/quarantine"
 )
 
-// Notices are what nodes tell each other of crashes. They go both ways on each feed, so that
-// they reach every node from any.
+// Notices holds the crash notices that nodes exchange. They are sent in both directions on
+// each feed, so that a notice from any node reaches all nodes.
 type Notices interface {
-	// Open returns the name of a new feed.
+	// Open returns an identifier for a new feed.
 	Open() quarantine.Feed
-	// Since returns what the neighbour on a feed lacks that was told everything up to a
-	// position, its position after that, and a channel that is closed when there is more.
+	// Since returns the notices after a position that the neighbour on a feed lacks, its
+	// position afterwards, and a channel that is closed when there are more.
 	Since(position uint64, to quarantine.Feed) (notice *quarantine.Notice, next uint64, changed <-chan struct{})
-	// Merge takes what comes by a feed.
+	// Merge adds a notice received on a feed.
 	Merge(from quarantine.Feed, notice *quarantine.Notice)
 }
 
-// SendNotices sends the neighbour on a feed the notices that it lacks, all at first, until ctx
-// ends or send fails.
+// SendNotices sends the neighbour on a feed the notices that it lacks, starting with all of
+// them, until ctx ends or send fails.
 func SendNotices(ctx context.Context, notices Notices, to quarantine.Feed, send func(*quarantine.Notice) error) error {
 	var position uint64
 	for {
--- a/internal/follow/notices_test.go
+++ b/internal/follow/notices_test.go
@@ -17,24 +17,25 @@
 const (
 	// manyPerDomain makes a fleet of 296 nodes in two regions.
 	manyPerDomain = 74
-	// knownWithin is the bound after the third crash under a request.
+	// knownWithin is the bound for the quarantine after the third crash under a request.
 	knownWithin = 3 * time.Second
 	poison      = quarantine.Fingerprint(1 << 60)
 )
 
-// crashThree lets three nodes tell of a crash each, in which the poison ran beside others.
-func (w *world) crashThree(nodes []string) {
+// crashThreeTargets makes three nodes report one crash each, in which the poison request
+// ran beside others.
+func (w *world) crashThreeTargets(nodes []string) {
 	for i, node := range nodes[:3] {
 		suspects := []quarantine.Fingerprint{poison}
 		for other := range quarantine.Fingerprint(11) {
 			suspects = append(suspects, poison+100*quarantine.Fingerprint(i+1)+other)
 		}
-		w.crash(node, uint64(i+1), suspects...)
+		w.reportCrash(node, uint64(i+1), suspects...)
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (w *world) otherNodes(lost []string) []string {
+func (w *world) nodesExcept(lost []string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var others []string
@@ -47,28 +48,28 @@
 	return others
 }
 
-// Guards against nodes of a large fleet that learn too late under which request targets
-// crash, and against notices that fill small links.
+// Guards against nodes of a large fleet that quarantine a request too late, and against
+// notices that saturate small links.
 func TestLargeFleetLearnsOfCrashes(t *testing.T) {
-	simulateFleet(t, largeWithin, manyPerDomain, func(t *testing.T, w *world) {
+	simulateFleet(t, largeBound, manyPerDomain, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.linkRate = smallLink / 10
 		w.mu.Unlock()
 		random := rand.New(rand.NewPCG(1, 1))
-		nodes := w.otherNodes(nil)
+		nodes := w.nodesExcept(nil)
 		random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 		w.takeSent()
-		w.crashThree(nodes)
+		w.crashThreeTargets(nodes)
 		time.Sleep(500 * time.Millisecond)
-		assert.Equal(t, len(w.unaware(poison)), 0, "%v", w.unaware(poison))
+		assert.Equal(t, len(w.notQuarantining(poison)), 0, "%v", w.notQuarantining(poison))
 		most, _ := w.takeSent()
-		beats := 3 * spread.Most * beatBytes * 10
-		assert.Assert(t, most-beats <= 3*spread.Most*3*200, "%d bytes", most)
+		heartbeats := 3 * fanout.Most * heartbeatBytes * 10
+		assert.Assert(t, most-heartbeats <= 3*fanout.Most*3*200, "%d bytes", most)
 	})
 }
 
-// Guards against a request that goes on crashing targets where the nodes between those that
-// see the crashes and the others are lost.
+// Guards against a request that keeps crashing targets because the nodes between those that
+// observe the crashes and the others are lost.
 func TestNodesLearnOfCrashesThoughManyAreLost(t *testing.T) {
 	for _, test := range []struct {
 		desc        string
@@ -77,7 +78,7 @@
 		lose        func(w *world, id string)
 	}{
 		{"a third cut off from everybody, the readers among them", 0.33, true, func(w *world, id string) { w.cut[id] = true }},
-		{"a third turned away by the platform, the readers among them", 0.33, true, func(w *world, id string) { w.refused[id] = true }},
+		{"a third rejected by the platform, the readers among them", 0.33, true, func(w *world, id string) { w.rejected[id] = true }},
 		{"half of the processes end, the readers among them", 0.5, true, func(w *world, id string) {
 			w.stops[id]()
 			w.cut[id] = true
@@ -85,7 +86,7 @@
 	} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(test.desc, " ", seed), func(t *testing.T) {
-				simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
+				simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 					random := rand.New(rand.NewPCG(seed, 1))
 					lost := w.someNodes(random, test.part, test.withReaders)
 					w.mu.Lock()
@@ -93,22 +94,22 @@
 						test.lose(w, id)
 					}
 					w.mu.Unlock()
-					nodes := w.otherNodes(lost)
+					nodes := w.nodesExcept(lost)
 					random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-					w.crashThree(nodes)
+					w.crashThreeTargets(nodes)
 					time.Sleep(knownWithin)
-					assert.Equal(t, len(w.unaware(poison)), 0, "%v", w.unaware(poison))
+					assert.Equal(t, len(w.notQuarantining(poison)), 0, "%v", w.notQuarantining(poison))
 				})
 			})
 		}
 	}
 }
 
-// Guards against a process that starts later and knows of no crash.
+// Guards against restarted processes that don't receive the notices of earlier crashes.
 func TestRestartedNodesLearnOfCrashes(t *testing.T) {
-	simulateFleet(t, largeWithin, largePerDomain, func(t *testing.T, w *world) {
-		nodes := w.otherNodes(nil)
-		w.crashThree(nodes)
+	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
+		nodes := w.nodesExcept(nil)
+		w.crashThreeTargets(nodes)
 		time.Sleep(time.Second)
 		for _, id := range nodes[:len(nodes)*3/5] {
 			w.stops[id]()
@@ -118,6 +119,6 @@
 			w.start(id)
 		}
 		time.Sleep(knownWithin)
-		assert.Equal(t, len(w.unaware(poison)), 0, "%v", w.unaware(poison))
+		assert.Equal(t, len(w.notQuarantining(poison)), 0, "%v", w.notQuarantining(poison))
 	})
 }
--- a/internal/follow/pace.go
+++ b/internal/follow/pace.go
@@ -2,99 +2,104 @@
 
 import "time"
 
-// usualInForce is the bound for changes to which the times below belong; they scale with
-// the bound in force.
-const usualInForce = 2500 * time.Millisecond
+// defaultPropagationBound is the propagation bound for which the durations below are given;
+// they scale with the configured bound.
+const defaultPropagationBound = 2500 * time.Millisecond
 
-// leastScale and mostScale bound how far the times follow another bound: below, a
-// watch would cost several calls a second; above, nothing is saved any more that
-// counts, and a departed target would be known too late.
+// minScale and maxScale limit the scaling. Below minScale, watches would cost several calls
+// a second; above maxScale, nothing significant is saved, and departed targets would be
+// detected too late.
 const (
-	leastScale = 0.4
-	mostScale  = 2
+	minScale = 0.4
+	maxScale = 2
 )
 
-// pace holds the times that follow from how soon a change must be in force.
-type pace struct {
-	// watchWait is how long one watch waits. It is the longest time in which a
-	// reader that is silently cut off still seems current, and one call in that
-	// time for each reader.
-	watchWait time.Duration
-	// beat is how often a feed tells its age without a change.
-	beat time.Duration
-	// staleAfter is the age from which a node doesn't trust its neighbours' word: a
-	// watch, two beats and nothing else. What was published just before is then in
-	// force four fifths into the bound.
+// timing holds the durations that are derived from the propagation bound.
+type timing struct {
+	// watchTimeout is the longest duration of one watch. A reader that is silently cut off
+	// appears current for at most this time, and each reader makes one call in it.
+	watchTimeout time.Duration
+	// heartbeatInterval is how often a feed sends the age of its view if there is no
+	// change.
+	heartbeatInterval time.Duration
+	// staleAfter is the age from which a node treats its neighbours' updates as stale: one
+	// watch and two heartbeats, without a margin. A change published just before the loss
+	// of the readers is then active after four fifths of the bound.
 	staleAfter time.Duration
-	// orphanedAfter is the same for a node whose feeds have all broken, as they do at
-	// once when processes end, and for one that knows of a failed read: two beats.
+	// orphanedAfter replaces staleAfter if all feeds of a node have broken, as they do at
+	// once when processes end, or if a read is known to have failed: two heartbeats.
 	orphanedAfter time.Duration
-	// fartherAfter is the age from which a reader far from the platform reads as
-	// well, though a nearer one did until then.
-	fartherAfter time.Duration
-	// stepInGap keeps the nodes of a region from stepping in all at once.
-	stepInGap time.Duration
-	// moreParentsAfter is the age of a view from which a node follows more
-	// neighbours: by then the first nodes that can read have stepped in.
+	// farReaderAfter is the age from which a reader far from the platform also reads it,
+	// although a nearer one did so before.
+	farReaderAfter time.Duration
+	// failoverStagger keeps the nodes of a region from failing over all at once.
+	failoverStagger time.Duration
+	// moreParentsAfter is the age of the view from which a node follows more neighbours. By
+	// then the first nodes that can read the platform have failed over.
 	moreParentsAfter time.Duration
-	// retryMostReader and retryMost bound the pause after failed reads. Readers
-	// notice the platform's return soon; the others must not be in a pause that is
-	// longer than what is left of the bound.
-	retryMostReader, retryMost time.Duration
-	// drainWork is for how long a draining target gets work that was on its way: what
-	// is left of the bound when its own node learned of it as late as any may.
-	drainWork time.Duration
+	// maxReaderBackoff and maxBackoff limit the pause after failed reads. Readers detect
+	// the platform's return quickly; the pause of other nodes must not exceed the rest of
+	// the bound.
+	maxReaderBackoff, maxBackoff time.Duration
+	// drainGrace is how long a draining target still receives requests that were already on
+	// their way: the rest of the bound if its own node learned of the draining as late as
+	// is allowed.
+	drainGrace time.Duration
 }
 
-// firstToStepIn is how many nodes of a region step in one soon after another, and try as
-// often, where the readers have no updates. One of them finds out for all, who follow them
-// then; of those behind only a few more try in an outage, however large the region is.
-const firstToStepIn = staleParents
+// failoverNodes is how many nodes of a region fail over in short succession and retry
+// equally often if the readers have no updates. One that succeeds is enough, because the
+// others then follow it. Nodes of higher rank wait longer, so that only a few more of them
+// call the platform during an outage, however large the region is.
+const failoverNodes = fallbackParents
 
-// crowd is by how much a node of a rank holds back beside those that step in first.
-func crowd(rank int) time.Duration {
-	if rank < firstToStepIn {
+// rankFactor returns the factor by which a node of a rank waits longer than the nodes that
+// fail over first.
+func rankFactor(rank int) time.Duration {
+	if rank < failoverNodes {
 		return 1
 	}
-	return time.Duration(1 + 2*rank/firstToStepIn)
+	return time.Duration(1 + 2*rank/failoverNodes)
 }
 
-// stepInAfter is how much older than stale the view of a node of a rank gets before it
-// reads the platform itself.
-func (p *pace) stepInAfter(rank int) time.Duration {
-	return time.Duration(rank) * p.stepInGap * crowd(rank)
+// failoverDelay returns how far beyond the staleness limit the age of the view must be
+// before a node of a rank reads the platform itself.
+func (t *timing) failoverDelay(rank int) time.Duration {
+	return time.Duration(rank) * t.failoverStagger * rankFactor(rank)
 }
 
-// retryPauses returns the pause of a node of a rank after a first failed read and the
-// longest one.
-func (p *pace) retryPauses(rank int) (first, most time.Duration) {
+// backoffBounds returns the pause of a node of a rank after the first failed read, and the
+// longest pause.
+func (t *timing) backoffBounds(rank int) (first, most time.Duration) {
 	if rank < readers {
-		return retryFirst, p.retryMostReader
+		return initialBackoff, t.maxReaderBackoff
 	}
-	return retryFirst * crowd(rank), p.retryMost * crowd(rank)
+	return initialBackoff * rankFactor(rank), t.maxBackoff * rankFactor(rank)
 }
 
-// DrainWork is for how long after a target drains its own node may still give it work
-// that was on its way, where changes must be in force within a time.
-func DrainGrace(inForceWithin time.Duration) time.Duration { return paceFor(inForceWithin).drainWork }
+// DrainGrace returns how long the node beside a draining target may still send it requests
+// that were already on their way, under a propagation bound.
+func DrainGrace(bound time.Duration) time.Duration {
+	return timingFor(bound).drainGrace
+}
 
-// paceFor returns the times for a bound.
-func paceFor(within time.Duration) pace {
-	if within == 0 {
-		within = usualInForce
+// timingFor returns the durations for a propagation bound.
+func timingFor(bound time.Duration) timing {
+	if bound == 0 {
+		bound = defaultPropagationBound
 	}
-	scale := min(max(float64(within)/float64(usualInForce), leastScale), mostScale)
-	scaled := func(usual time.Duration) time.Duration { return time.Duration(scale * float64(usual)) }
-	return pace{
-		watchWait:        scaled(time.Second),
-		beat:             scaled(300 * time.Millisecond),
-		staleAfter:       scaled(1600 * time.Millisecond),
-		orphanedAfter:    scaled(600 * time.Millisecond),
-		fartherAfter:     scaled(1350 * time.Millisecond),
-		stepInGap:        scaled(60 * time.Millisecond),
-		moreParentsAfter: scaled(1800 * time.Millisecond),
-		retryMostReader:  scaled(500 * time.Millisecond),
-		retryMost:        scaled(time.Second),
-		drainWork:        scaled(500 * time.Millisecond),
+	scale := min(max(float64(bound)/float64(defaultPropagationBound), minScale), maxScale)
+	scaled := func(base time.Duration) time.Duration { return time.Duration(scale * float64(base)) }
+	return timing{
+		watchTimeout:      scaled(time.Second),
+		heartbeatInterval: scaled(300 * time.Millisecond),
+		staleAfter:        scaled(1600 * time.Millisecond),
+		orphanedAfter:     scaled(600 * time.Millisecond),
+		farReaderAfter:    scaled(1350 * time.Millisecond),
+		failoverStagger:   scaled(60 * time.Millisecond),
+		moreParentsAfter:  scaled(1800 * time.Millisecond),
+		maxReaderBackoff:  scaled(500 * time.Millisecond),
+		maxBackoff:        scaled(time.Second),
+		drainGrace:        scaled(500 * time.Millisecond),
 	}
 }
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -11,15 +11,15 @@
 	"tamarackquay/internal/port"
 )
 
-// read is the loop that reads the platform while this node is a reader or its
-// neighbours' word is old.
+// read reads the platform in a loop while this node is a reader or its neighbours' updates
+// are stale.
 func (f *Follower) read(ctx context.Context) {
 	if f.config.FirstStart {
-		f.begin(ctx)
+		f.bootstrap(ctx)
 	}
 	failures := 0
 	for ctx.Err() == nil {
-		if !f.mayRead() {
+		if !f.shouldRead() {
 			failures = 0
 			f.await(ctx, f.untilRead())
 			continue
@@ -29,78 +29,78 @@
 			return
 		}
 		if errors.Is(err, ErrCompacted) {
-			f.log.Warn().Uint64(logfield.Revision, f.revision).Msg("platform dropped its history; listing anew")
+			f.log.Warn().Uint64(logfield.Revision, f.revision).Msg("platform compacted the watched revision; making a full listing")
 			f.revision = 0
-			f.historyGone = true
+			f.compacted = true
 			continue
 		}
-		f.noteContact(err)
+		f.recordReadResult(err)
 		if err != nil {
-			failures = f.retryPause(ctx, failures+1)
+			failures = f.waitRetry(ctx, failures+1)
 			continue
 		}
 		failures = 0
 		if changed {
-			f.pause(ctx, coalesce)
+			f.pause(ctx, coalesceDelay)
 		}
 	}
 }
 
-// begin learns from a cheap listing who else there is, and most of the view, in a first
-// start of the fleet. What is missing comes from neighbours: the platform would else be
-// listed as often as there are nodes. While it has no configuration or lists no target,
-// each node for itself would take itself for a reader, so it is asked again a little later.
-// Nodes that start later list in full: callers wait for them, and the way by the readers
-// takes longer.
-func (f *Follower) begin(ctx context.Context) {
-	for pause := beginFirst; ; pause *= 2 {
+// bootstrap loads the list of nodes and most of the view from a stale listing at the first
+// start of the fleet. The rest comes from neighbours; otherwise every node would make a
+// full listing of the platform. While the platform holds no configuration or lists no
+// targets, every node would consider itself a reader, so the listing is repeated a little
+// later. Nodes that start later make a full listing: callers are waiting for them, and
+// receiving the view through the readers takes longer.
+func (f *Follower) bootstrap(ctx context.Context) {
+	for pause := initialBootstrapDelay; ; pause *= 2 {
 		listing, err := f.platform.ListStale(ctx)
 		f.countRead("cheap list", err)
 		if err != nil {
-			f.log.Info().Err(err).Msg("no cheap listing")
+			f.log.Info().Err(err).Msg("stale listing failed")
 			return
 		}
 		if listing.Config != nil && len(listing.Targets) > 0 {
-			f.beginWith(listing)
+			f.applyBootstrap(listing)
 			return
 		}
-		if pause > beginMost || !f.pause(ctx, pause) {
+		if pause > maxBootstrapDelay || !f.pause(ctx, pause) {
 			return
 		}
 	}
 }
 
-func (f *Follower) beginWith(listing *Listing) {
-	f.begun = f.clock.Now()
+func (f *Follower) applyBootstrap(listing *Listing) {
+	f.bootstrappedAt = f.clock.Now()
 	update := &mesh.Update{Targets: listing.Targets, Age: -1, Revision: listing.Revision}
 	f.addConfig(update, listing.Config)
 	if err := f.apply(update, listing.Answered); err != nil {
-		f.log.Warn().Err(err).Msg("cheap listing not taken")
+		f.log.Warn().Err(err).Msg("stale listing could not be applied")
 	}
 }
 
-// mayRead decides whether this node reads the platform now. The first reader of
-// a region does, unless one that is much nearer to the platform keeps its view
-// fresh: a whole configuration of 80 KB would else cross to each region with
-// each change, where a delta has a few hundred bytes. Others read when the view
-// is old, one rank after another.
-func (f *Follower) mayRead() bool {
+// shouldRead reports whether this node reads the platform now. The first reader of a region
+// does, unless a reader much nearer to the platform keeps its view current: each change
+// would otherwise transfer the complete configuration of 80 KB to each region, where a
+// delta takes a few hundred bytes. Other nodes read when the view is stale, staggered by
+// rank.
+func (f *Follower) shouldRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	lag := f.view.Lag(f.clock.Now())
 	rank := f.rank()
 	if lag < 0 {
-		patience := startPatience + time.Duration(rank)*startGap
-		return rank < readers || f.begun.IsZero() || f.clock.Now().Sub(f.begun) > patience
+		wait := startWait + time.Duration(rank)*startStagger
+		return rank < readers || f.bootstrappedAt.IsZero() || f.clock.Now().Sub(f.bootstrappedAt) > wait
 	}
 	if rank == 0 {
-		return f.clock.Now().Sub(f.nearerAt) > f.pace.fartherAfter
+		return f.clock.Now().Sub(f.nearerReaderAt) > f.timing.farReaderAfter
 	}
-	return lag > f.staleAfter()+f.pace.stepInAfter(rank)
+	return lag > f.staleAfter()+f.timing.failoverDelay(rank)
 }
 
-// untilRead is in what time this node may have to read the platform, if it hears nothing
-// until then.
+// untilRead returns the time until this node may have to read the platform if it receives
+// no update before.
 func (f *Follower) untilRead() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,32 +111,33 @@
 	}
 	rank := f.rank()
 	if rank == 0 {
-		return f.pace.fartherAfter - now.Sub(f.nearerAt)
+		return f.timing.farReaderAfter - now.Sub(f.nearerReaderAt)
 	}
-	return f.staleAfter() + f.pace.stepInAfter(rank) - lag
+	return f.staleAfter() + f.timing.failoverDelay(rank) - lag
 }
 
-// staleAfter is the lag from which the first node that isn't a reader steps in. Where the
-// readers' feeds have broken, or a reader told that the platform turned it away, there is
-// nothing to wait for. It must be called with the mutex held.
+// staleAfter returns the lag at which the first node that isn't a reader fails over to
+// reading the platform. It is shorter if the readers' feeds are broken or a read of the
+// platform is known to have failed, as there is nothing left to wait for. It must be called
+// with the mutex held.
 func (f *Follower) staleAfter() time.Duration {
 	if f.orphaned() || f.view.ReadFailed() {
-		return f.pace.orphanedAfter
+		return f.timing.orphanedAfter
 	}
-	return f.pace.staleAfter
+	return f.timing.staleAfter
 }
 
-// retryPause waits after so many failures in a row and returns how many still
-// count. It ends when this node needn't read any more: neighbours have updates, so
-// the platform is back, and the next time that the view gets old must not find
-// this node in a pause of seconds.
-func (f *Follower) retryPause(ctx context.Context, failures int) int {
+// waitRetry waits after the given number of consecutive failures and returns how many of
+// them still count. It returns early if this node no longer has to read: neighbours have
+// updates, so the platform is back, and this node must not be in a pause of seconds the
+// next time the view becomes stale.
+func (f *Follower) waitRetry(ctx context.Context, failures int) int {
 	until := f.clock.Now().Add(f.backoff(failures))
 	for f.clock.Now().Before(until) {
-		if !f.pause(ctx, min(until.Sub(f.clock.Now()), tickInterval)) {
+		if !f.pause(ctx, min(until.Sub(f.clock.Now()), minTick)) {
 			break
 		}
-		if !f.mayRead() {
+		if !f.shouldRead() {
 			return 0
 		}
 	}
@@ -145,19 +146,19 @@
 
 func (f *Follower) backoff(failures int) time.Duration {
 	f.mu.Lock()
-	first, most := f.pace.retryPauses(f.rank())
+	first, most := f.timing.backoffBounds(f.rank())
 	if f.view.Table() == nil {
-		first, most = f.pace.retryPauses(0)
+		first, most = f.timing.backoffBounds(0)
 	}
 	f.mu.Unlock()
 	return min(first<<min(failures-1, 8), most)
 }
 
-// readOnce lists the platform the first time and watches it then. A node that knows the
-// view of a neighbour watches from there: a listing has all targets and the whole
-// configuration.
+// readOnce makes a full listing of the platform the first time and watches it afterwards. A
+// node that has received a neighbour's view watches from that revision instead, because a
+// listing contains all targets and the complete configuration.
 func (f *Follower) readOnce(ctx context.Context) (changed bool, err error) {
-	if !f.historyGone {
+	if !f.compacted {
 		f.mu.Lock()
 		f.revision = max(f.revision, f.view.Revision())
 		f.mu.Unlock()
@@ -167,10 +168,10 @@
 		f.countRead("list", err)
 		return true, err
 	}
-	wait := f.pace.watchWait
+	wait := f.timing.watchTimeout
 	if !f.lostAt.IsZero() || f.Age() < 0 {
-		// The first answer of all and after an outage is wanted at once: it makes the
-		// view current for all who follow.
+		// The first response ever, and the first after an outage, must come at once: it
+		// makes the view current for all followers.
 		wait = 0
 	}
 	changes, err := f.platform.Watch(ctx, f.revision, wait)
@@ -208,34 +209,35 @@
 	f.mu.Unlock()
 	f.addConfig(update, listing.Config)
 	f.revision = listing.Revision
-	f.historyGone = false
+	f.compacted = false
 	return f.apply(update, listing.Answered)
 }
 
-// addConfig adds a configuration as a step from what is in force.
+// addConfig adds a configuration to the update as a delta without a base.
 func (f *Follower) addConfig(update *mesh.Update, config *mesh.Config) {
 	if config != nil {
 		update.Config = mesh.Diff(nil, config)
 	}
 }
 
-// removalGrace is for how long targets stay in use whose entries are gone: for a
-// while where the platform is back so lately that live targets may not have renewed
-// them. Failed reads of neighbours count like this node's own: a node that was only
-// ever told by its neighbours would else be the one that drops every target, and tell
-// the others.
+// removalGrace returns how long targets whose entries were removed stay in use. It is above
+// zero during a platform outage and shortly after it, when live targets may not have renewed
+// their leases yet. Reads that failed on neighbours count like this node's own: otherwise a
+// node that only ever received updates from neighbours would drop all targets and propagate
+// the removals.
 func (f *Follower) removalGrace() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	if f.view.Outage(now) || !f.returned.IsZero() && now.Sub(f.returned) < settle {
+	if f.view.Outage(now) || !f.recoveredAt.IsZero() && now.Sub(f.recoveredAt) < recoveryWindow {
 		return mesh.SuspectGrace
 	}
 	return 0
 }
 
-// noteContact tells of the platform's loss and return.
-func (f *Follower) noteContact(err error) {
+// recordReadResult records the result of a read and logs the loss and the return of the
+// platform.
+func (f *Follower) recordReadResult(err error) {
 	now := f.clock.Now()
 	if err != nil {
 		f.mu.Lock()
--- a/internal/follow/states.go
+++ b/internal/follow/states.go
@@ -10,20 +10,20 @@
 // targetStatus is the state of a target in the view.
 type targetStatus struct {
 	state string
-	// usableUntil is set for a target that stays in use though its entry is gone.
+	// usableUntil is set if the target stays in use although its entry was removed.
 	usableUntil time.Time
 }
 
-// Names of states in the log.
+// Names of target states in the log.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
-	// stateLapsed is a target in use whose entry is gone.
+	// stateLapsed is a target that stays in use although its entry was removed.
 	stateLapsed = "lapsed"
 	stateGone   = "gone"
 )
 
-// statesOf returns the states of the targets in an update.
+// statesOf returns the current states of the targets in an update.
 func (f *Follower) statesOf(update *mesh.Update) map[string]targetStatus {
 	states := map[string]targetStatus{}
 	for i := range update.Targets {
@@ -48,8 +48,8 @@
 	return targetStatus{state: stateReady}
 }
 
-// logTransitions logs the targets whose state has changed. Age is how old the view was,
-// late how long the update was in transit.
+// logTransitions logs the targets whose state has changed. Age is the age of the view
+// before the update, late the time that the update was in transit.
 func (f *Follower) logTransitions(before map[string]targetStatus, age, late time.Duration) {
 	now := f.clock.Now()
 	for id, was := range before {
--- a/internal/follow/transit.go
+++ b/internal/follow/transit.go
@@ -2,31 +2,34 @@
 
 import "time"
 
-// transit dates the messages of one feed by when they were sent. The clocks of the
-// two nodes needn't agree: the quickest message tells when the feed began.
-type transit struct {
-	// opened is when this node asked for the feed.
-	opened time.Time
-	// heard is set by the first message.
-	heard bool
-	// began is when the feed began, reckoned from its quickest message but the first.
-	began time.Time
+// feedClock estimates the send times of the messages of one feed. The clocks of the two
+// nodes need not agree: the start of the feed is derived from the message with the shortest
+// transit.
+type feedClock struct {
+	// openedAt is when this node requested the feed.
+	openedAt time.Time
+	// received is set by the first message.
+	received bool
+	// startedAt is the start of the feed, derived from the message with the shortest
+	// transit except for the first message.
+	startedAt time.Time
 }
 
-// sentAt returns when a message was sent, at the earliest, that arrives now; sent is
-// counted by the sender from the feed's beginning, and zero where it doesn't say.
-func (t *transit) sentAt(sent time.Duration, now time.Time) time.Time {
-	if !t.heard {
-		// It carries the sender's whole view and may be long in transit.
-		t.heard = true
-		return t.opened
+// sentAt returns the earliest time at which the message that arrives now was sent. Sent is
+// the send time relative to the start of the feed, by the sender's clock; zero if the
+// sender doesn't report it.
+func (c *feedClock) sentAt(sent time.Duration, now time.Time) time.Time {
+	if !c.received {
+		// The first message carries the sender's complete view and may be long in transit.
+		c.received = true
+		return c.openedAt
 	}
 	if sent == 0 {
 		return now
 	}
-	began := now.Add(-sent)
-	if t.began.IsZero() || began.Before(t.began) {
-		t.began = began
+	startedAt := now.Add(-sent)
+	if c.startedAt.IsZero() || startedAt.Before(c.startedAt) {
+		c.startedAt = startedAt
 	}
-	return t.began.Add(sent)
+	return c.startedAt.Add(sent)
 }
--- a/internal/follow/world_link_test.go
+++ b/internal/follow/world_link_test.go
@@ -9,19 +9,19 @@
 	"tamarackquay/internal/wait"
 )
 
-// link is one node's way to the platform and to other nodes.
+// link is one node's connection to the platform and to other nodes.
 type link struct {
 	world *world
 	node  string
 }
 
-// gate waits for the answer that never comes on a cut link, and returns at once
-// what a refusal says.
-func (l *link) gate(ctx context.Context) error {
+// checkAccess fails after a timeout if the node's link is cut, and at once if the platform
+// rejects the node.
+func (l *link) checkAccess(ctx context.Context) error {
 	l.world.mu.Lock()
-	cut, refused := l.world.cut[l.node], l.world.refused[l.node]
+	cut, refused := l.world.cut[l.node], l.world.rejected[l.node]
 	if refused && !cut {
-		l.world.tries++
+		l.world.rejectedCalls++
 	}
 	l.world.mu.Unlock()
 	if cut {
@@ -30,7 +30,7 @@
 		<-ctx.Done()
 	}
 	if cut || refused {
-		return errAway
+		return errUnreachable
 	}
 	return nil
 }
@@ -44,7 +44,7 @@
 }
 
 func (l *link) List(ctx context.Context) (*Listing, error) {
-	if err := l.gate(ctx); err != nil {
+	if err := l.checkAccess(ctx); err != nil {
 		return nil, err
 	}
 	w := l.world
@@ -56,24 +56,24 @@
 		listing.Targets = append(listing.Targets, target)
 	}
 	w.mu.Unlock()
-	return listing, l.receive(ctx)
+	return listing, l.awaitResponse(ctx)
 }
 
-// cheapAge is how old what a cheap listing tells is.
-const cheapAge = 2 * time.Second
+// staleListAge is the age of the contents of a stale listing.
+const staleListAge = 2 * time.Second
 
-// ListCheaply implements Platform.
+// ListStale implements Platform.
 func (l *link) ListStale(ctx context.Context) (*Listing, error) {
-	if err := l.gate(ctx); err != nil {
+	if err := l.checkAccess(ctx); err != nil {
 		return nil, err
 	}
 	w := l.world
 	w.mu.Lock()
-	w.cheap++
+	w.staleLists++
 	listing := &Listing{Answered: time.Now()}
 	targets := map[string]mesh.Target{}
 	for i, update := range w.history {
-		if time.Since(w.recorded[i]) < cheapAge {
+		if time.Since(w.recorded[i]) < staleListAge {
 			break
 		}
 		if update.Config != nil {
@@ -92,22 +92,22 @@
 		listing.Targets = append(listing.Targets, target)
 	}
 	w.mu.Unlock()
-	return listing, l.receive(ctx)
+	return listing, l.awaitResponse(ctx)
 }
 
-// receive waits until an answer of the platform is here whole.
-func (l *link) receive(ctx context.Context) error {
+// awaitResponse waits until a response of the platform has arrived completely.
+func (l *link) awaitResponse(ctx context.Context) error {
 	l.world.mu.Lock()
-	answering := l.world.answering
+	answering := l.world.responseDelay
 	l.world.mu.Unlock()
 	if !wait.Sleep(ctx, answering) {
 		return ctx.Err()
 	}
-	return l.gate(ctx)
+	return l.checkAccess(ctx)
 }
 
 func (l *link) Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error) {
-	if err := l.gate(ctx); err != nil {
+	if err := l.checkAccess(ctx); err != nil {
 		return nil, err
 	}
 	w := l.world
@@ -116,7 +116,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		if after < w.dropped {
+		if after < w.compacted {
 			w.mu.Unlock()
 			return nil, ErrCompacted
 		}
@@ -124,12 +124,12 @@
 		changed := w.changed
 		w.mu.Unlock()
 		if changes.Revision > after {
-			return changes, l.receive(ctx)
+			return changes, l.awaitResponse(ctx)
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return &Changes{Revision: after, Answered: time.Now()}, l.gate(ctx)
+			return &Changes{Revision: after, Answered: time.Now()}, l.checkAccess(ctx)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -140,7 +140,7 @@
 func (w *world) since(after uint64) *Changes {
 	changes := &Changes{Revision: after, Answered: time.Now()}
 	for _, update := range w.history {
-		// The age of a recorded update holds its revision.
+		// The Age field of a recorded update holds its revision.
 		if revision := uint64(update.Age); revision > after {
 			changes.Revision = revision
 			changes.Targets = append(changes.Targets, update.Targets...)
@@ -158,20 +158,20 @@
 	defer cancel()
 	w := l.world
 	w.mu.Lock()
-	other, life := w.nodes[address], w.lives[address]
-	own, theirs := w.crashes[l.node], w.crashes[address]
+	other, process := w.nodes[address], w.processes[address]
+	local, remote := w.crashes[l.node], w.crashes[address]
 	w.mu.Unlock()
-	if other == nil || life.Err() != nil || w.isCut(l.node, address) {
-		return errAway
+	if other == nil || process.Err() != nil || w.isCut(l.node, address) {
+		return errUnreachable
 	}
-	defer context.AfterFunc(life, cancel)()
+	defer context.AfterFunc(process, cancel)()
 	var noticing sync.WaitGroup
 	defer noticing.Wait()
 	defer cancel()
-	near, far := end{l.node, own, own.Open()}, end{address, theirs, theirs.Open()}
-	noticing.Go(func() { w.passNotices(ctx, near, far) })
-	noticing.Go(func() { w.passNotices(ctx, far, near) })
-	silence := time.AfterFunc(1200*time.Millisecond, cancel)
+	near, far := feedEnd{l.node, local, local.Open()}, feedEnd{address, remote, remote.Open()}
+	noticing.Go(func() { w.sendNotices(ctx, near, far) })
+	noticing.Go(func() { w.sendNotices(ctx, far, near) })
+	idleTimer := time.AfterFunc(1200*time.Millisecond, cancel)
 	queue := make(chan queuedUpdate, 64)
 	var delivering sync.WaitGroup
 	defer delivering.Wait()
@@ -181,7 +181,7 @@
 			if !wait.Sleep(ctx, time.Until(q.due)) {
 				continue
 			}
-			silence.Reset(1200 * time.Millisecond)
+			idleTimer.Reset(1200 * time.Millisecond)
 			if take(q.update) != nil {
 				cancel()
 			}
@@ -191,76 +191,77 @@
 		if w.isCut(l.node, address) {
 			return nil
 		}
-		// A feed's window holds one message: the next one is made when it has left.
-		left := w.carry(address, update)
+		// A feed's window holds one message: the next one is created when it has left the
+		// link.
+		left := w.transmit(address, update)
 		wait.Sleep(ctx, time.Until(left))
-		queue <- queuedUpdate{update: update, due: time.Now().Add(w.queueAt(address))}
+		queue <- queuedUpdate{update: update, due: time.Now().Add(w.queueDelayAt(address))}
 		return nil
 	})
 }
 
-// queuedUpdate is a message that waits at a full link.
+// queuedUpdate is a message that is queued at a full link.
 type queuedUpdate struct {
 	update *mesh.Update
 	due    time.Time
 }
 
-// carry puts an update on the link of a node and returns when it has left.
-func (w *world) carry(node string, update *mesh.Update) time.Time {
-	return w.carryBytes(node, sizeOf(update))
+// transmit sends an update over a node's link and returns when it has left.
+func (w *world) transmit(node string, update *mesh.Update) time.Time {
+	return w.transmitBytes(node, sizeOf(update))
 }
 
-func (w *world) carryBytes(node string, size int) time.Time {
+func (w *world) transmitBytes(node string, size int) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.sent[node] += size
+	w.sentBytes[node] += size
 	if w.linkRate == 0 {
 		return time.Now()
 	}
-	free := w.linkFree[node]
+	free := w.linkFreeAt[node]
 	if now := time.Now(); free.Before(now) {
 		free = now
 	}
-	w.linkFree[node] = free.Add(time.Duration(float64(size) / w.linkRate * float64(time.Second)))
-	return w.linkFree[node]
+	w.linkFreeAt[node] = free.Add(time.Duration(float64(size) / w.linkRate * float64(time.Second)))
+	return w.linkFreeAt[node]
 }
 
-// Bytes of the parts of an update: about what CBOR takes, with routes compressed.
+// Approximate sizes of the parts of an update in CBOR, with compressed routes.
 const (
-	beatBytes   = 60
-	entryBytes  = 90
-	routeBytes  = 12
-	removeBytes = 20
+	heartbeatBytes = 60
+	entryBytes     = 90
+	routeBytes     = 12
+	removeBytes    = 20
 )
 
 func sizeOf(update *mesh.Update) int {
-	size := beatBytes + entryBytes*len(update.Targets) + removeBytes*len(update.Removed)
+	size := heartbeatBytes + entryBytes*len(update.Targets) + removeBytes*len(update.Removed)
 	if update.Config != nil {
 		size += routeBytes * len(update.Config.Changed)
 	}
 	return size
 }
 
-// takeSent returns the bytes of the node that has sent most since it was last asked, and
-// of all nodes.
+// takeSent returns the bytes sent since the last call by the node that sent most, and by
+// all nodes.
 func (w *world) takeSent() (most, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, bytes := range w.sent {
+	for _, bytes := range w.sentBytes {
 		most = max(most, bytes)
 		all += bytes
 	}
-	clear(w.sent)
+	clear(w.sentBytes)
 	return most, all
 }
 
-func (w *world) queueAt(node string) time.Duration {
+func (w *world) queueDelayAt(node string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.queued == nil {
+	if w.queueDelay == nil {
 		return 0
 	}
-	return w.queued(node)
+	return w.queueDelay(node)
 }
 
 func (w *world) isCut(a, b string) bool {
--- a/internal/follow/world_notices_test.go
+++ b/internal/follow/world_notices_test.go
@@ -10,24 +10,24 @@
 	"tamarackquay/internal/wait"
 )
 
-// end is one end of a feed.
-type end struct {
+// feedEnd is one end of a feed.
+type feedEnd struct {
 	node    string
 	crashes *quarantine.Shared
 	feed    quarantine.Feed
 }
 
-// passNotices sends one node's notices to another, over the link of the first.
-func (w *world) passNotices(ctx context.Context, from, to end) {
+// sendNotices sends the notices of one node to another over the link of the first.
+func (w *world) sendNotices(ctx context.Context, from, to feedEnd) {
 	_ = SendNotices(ctx, from.crashes, from.feed, func(notice *quarantine.Notice) error {
 		raw, err := cbor.Marshal(notice)
 		if err != nil {
 			return err
 		}
 		w.mu.Lock()
-		w.noticed[from.node] += len(raw)
+		w.noticeBytes[from.node] += len(raw)
 		w.mu.Unlock()
-		if !wait.Sleep(ctx, time.Until(w.carryBytes(from.node, len(raw)))) {
+		if !wait.Sleep(ctx, time.Until(w.transmitBytes(from.node, len(raw)))) {
 			return ctx.Err()
 		}
 		if !w.isCut(from.node, to.node) {
@@ -37,8 +37,8 @@
 	})
 }
 
-// unaware returns the nodes that would let a request reach targets.
-func (w *world) unaware(request quarantine.Fingerprint) []string {
+// notQuarantining returns the nodes that would still forward a request to targets.
+func (w *world) notQuarantining(request quarantine.Fingerprint) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var found []string
@@ -50,8 +50,8 @@
 	return found
 }
 
-// crash lets a node tell of a crash.
-func (w *world) crash(node string, id uint64, suspects ...quarantine.Fingerprint) {
+// reportCrash makes a node report a crash.
+func (w *world) reportCrash(node string, id uint64, suspects ...quarantine.Fingerprint) {
 	w.mu.Lock()
 	crashes := w.crashes[node]
 	w.mu.Unlock()
--- a/internal/follow/world_test.go
+++ b/internal/follow/world_test.go
@@ -21,76 +21,77 @@
 
 func (wallClock) Now() time.Time { return time.Now() }
 
-var errAway = errors.New("no answer")
+var errUnreachable = errors.New("unreachable")
 
-// world is a platform and a fleet that follows it, on virtual time. Links can be
-// cut silently.
+// world simulates a platform and a fleet that follows it, in virtual time. Links can be cut
+// silently.
 type world struct {
-	// within is the nodes' bound for changes.
-	within   time.Duration
-	mu       sync.Mutex
-	revision uint64
-	// history holds all changes; what is at or before dropped is forgotten.
-	history []mesh.Update
-	dropped uint64
-	// recorded is when each of them happened.
+	// propagationBound is the nodes' bound for changes.
+	propagationBound time.Duration
+	mu               sync.Mutex
+	revision         uint64
+	// history holds all changes; revisions up to compacted are no longer available.
+	history   []mesh.Update
+	compacted uint64
+	// recorded holds the time of each change in history.
 	recorded []time.Time
 	config   *mesh.Config
 	targets  map[string]mesh.Target
 	changed  chan struct{}
 	reads    int
-	// lists counts the reads that were listings.
+	// lists counts the reads that were full listings.
 	lists int
-	// tries counts the calls of nodes that aren't cut off, failed ones included.
-	tries int
-	// cheap counts the cheap listings, which are no reads.
-	cheap int
-	// refused and cut name nodes that the platform turns away, and that reach
-	// nobody and are reached by nobody.
-	refused map[string]bool
-	cut     map[string]bool
-	// answering is how long an answer of the platform is in transit.
-	answering time.Duration
-	// queued is for how long messages wait at the link of a node before they leave
-	// it; nil where none is full.
-	queued func(node string) time.Duration
-	// quiet nodes greet nobody.
-	quiet bool
-	// firstStart is what nodes that start are told.
+	// rejectedCalls counts the calls that the platform rejected.
+	rejectedCalls int
+	// staleLists counts the stale listings, which don't count as reads.
+	staleLists int
+	// rejected holds the nodes that the platform rejects, cut the nodes that are cut off
+	// from the platform and from all other nodes.
+	rejected map[string]bool
+	cut      map[string]bool
+	// responseDelay is how long a response of the platform is in transit.
+	responseDelay time.Duration
+	// queueDelay returns how long messages are queued at a node's link; nil if no link is
+	// full.
+	queueDelay func(node string) time.Duration
+	// announceOff disables announcements.
+	announceOff bool
+	// firstStart is passed to nodes that start.
 	firstStart bool
-	// linkRate is the speed of each node's link for updates in bytes a second; 0 for
-	// links that are never full. LinkFree is when what was sent last has left, sent
-	// the bytes that each node has sent.
-	linkRate float64
-	linkFree map[string]time.Time
-	sent     map[string]int
-	nodes    map[string]*Follower
-	// crashes is what each node knows of requests that crash targets, and noticed the bytes
-	// of notices that each node has sent.
-	crashes map[string]*quarantine.Shared
-	noticed map[string]int
-	stops   map[string]context.CancelFunc
-	// lives end with the process of a node, and with it the feeds that it serves.
-	lives   map[string]context.Context
-	running sync.WaitGroup
-	// greeting is how long a greeting takes that nobody answers, ended when the followers
-	// of nodes that were stopped had ended.
-	greeting time.Duration
-	ended    map[string]time.Time
+	// linkRate is the speed of each node's link for updates in bytes per second; 0 for
+	// links that are never full. linkFreeAt is when a node's last message has left its
+	// link, sentBytes the number of bytes that each node has sent.
+	linkRate   float64
+	linkFreeAt map[string]time.Time
+	sentBytes  map[string]int
+	nodes      map[string]*Follower
+	// crashes holds each node's state of requests that crash targets, noticeBytes the size
+	// of the notices that each node has sent.
+	crashes     map[string]*quarantine.Shared
+	noticeBytes map[string]int
+	stops       map[string]context.CancelFunc
+	// processes holds a context for each node that ends with its process, and with it the
+	// feeds that the node serves.
+	processes map[string]context.Context
+	running   sync.WaitGroup
+	// announceDelay is how long an announcement to an unreachable node takes; endedAt holds
+	// the times at which the followers of stopped nodes had ended.
+	announceDelay time.Duration
+	endedAt       map[string]time.Time
 }
 
 var regions = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 
 const perDomain = 3
 
-func newWorld(within time.Duration, perDomain int) *world {
+func newWorld(bound time.Duration, perDomain int) *world {
 	w := &world{
-		within:   within,
-		ended:    map[string]time.Time{},
-		linkFree: map[string]time.Time{}, sent: map[string]int{},
+		propagationBound: bound,
+		endedAt:          map[string]time.Time{},
+		linkFreeAt:       map[string]time.Time{}, sentBytes: map[string]int{},
 		targets: map[string]mesh.Target{}, changed: make(chan struct{}), revision: 1,
-		crashes: map[string]*quarantine.Shared{}, noticed: map[string]int{},
-		refused: map[string]bool{}, cut: map[string]bool{}, nodes: map[string]*Follower{}, stops: map[string]context.CancelFunc{}, lives: map[string]context.Context{},
+		crashes: map[string]*quarantine.Shared{}, noticeBytes: map[string]int{},
+		rejected: map[string]bool{}, cut: map[string]bool{}, nodes: map[string]*Follower{}, stops: map[string]context.CancelFunc{}, processes: map[string]context.Context{},
 	}
 	w.publish(1)
 	for domain := range regions {
@@ -112,7 +113,7 @@
 	domain := w.targets[id].FailureDomain
 	w.mu.Unlock()
 	f := New(Config{
-		Self: id, FailureDomain: domain, Region: regions[domain], Regions: regions, PeerAddress: HostOf, Announce: w.greet(id), PropagationBound: w.within, FirstStart: w.firstStart,
+		Self: id, FailureDomain: domain, Region: regions[domain], Regions: regions, PeerAddress: HostOf, Announce: w.announce(id), PropagationBound: w.propagationBound, FirstStart: w.firstStart,
 	}, &link{world: w, node: id}, &link{world: w, node: id}, wallClock{},
 		&log.Logger{Level: log.FatalLevel, Writer: &log.IOWriter{Writer: io.Discard}}, metrics.New(), func(*mesh.View) {})
 	ctx, stop := context.WithCancel(context.Background())
@@ -120,13 +121,13 @@
 	w.nodes[id] = f
 	w.crashes[id] = quarantine.NewShared(wallClock{})
 	w.stops[id] = stop
-	w.lives[id] = ctx
+	w.processes[id] = ctx
 	w.mu.Unlock()
 	w.running.Go(func() {
 		f.Run(ctx)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.ended[id] = time.Now()
+		w.endedAt[id] = time.Now()
 	})
 }
 
@@ -169,13 +170,13 @@
 	w.record(mesh.Update{Removed: []mesh.Removal{{ID: id, Revision: w.revision}}, Age: time.Duration(w.revision)})
 }
 
-// greet gives the node at an address a hint of who greets.
-func (w *world) greet(from string) func(context.Context, string) {
+// announce returns a function that adds the sender as a hint at the node of an address.
+func (w *world) announce(from string) func(context.Context, string) {
 	return func(_ context.Context, address string) {
 		w.mu.Lock()
 		other := w.nodes[address]
-		quiet := w.quiet
-		greeting := w.greeting
+		quiet := w.announceOff
+		greeting := w.announceDelay
 		w.mu.Unlock()
 		if w.isCut(from, address) {
 			time.Sleep(greeting)
@@ -186,22 +187,22 @@
 	}
 }
 
-// platformAway lets the platform turn every node away, until platformBack.
-func (w *world) platformAway() {
+// failPlatform makes the platform reject all nodes until restorePlatform is called.
+func (w *world) failPlatform() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id := range w.nodes {
-		w.refused[id] = true
+		w.rejected[id] = true
 	}
 }
 
-func (w *world) platformBack() {
+func (w *world) restorePlatform() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	clear(w.refused)
+	clear(w.rejected)
 }
 
-// takeReads returns how often the platform was read since it was last asked.
+// takeReads returns the number of reads of the platform since the last call.
 func (w *world) takeReads() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -210,7 +211,7 @@
 	return reads
 }
 
-// lagging returns the nodes that are not on the version.
+// lagging returns the nodes whose version differs from the given one.
 func (w *world) lagging(version uint64) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -225,8 +226,8 @@
 	return found
 }
 
-// assertMembers checks that every node knows so many targets. No lock is held
-// when a check fails: the nodes could not end then, nor the test.
+// assertMembers checks the number of targets in every node's view. No lock may be held when
+// a check fails: the nodes, and the test, could not end.
 func (w *world) assertMembers(t *testing.T, want int) {
 	t.Helper()
 	for id, f := range w.nodes {
@@ -237,17 +238,17 @@
 	}
 }
 
-func (f *Follower) knows(target string) bool {
+func (f *Follower) hasMember(target string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Members()[target] != nil
 }
 
-// readers returns the nodes that read the platform by rank.
-func (w *world) readers() []string { return w.ranked(1) }
+// readers returns the active reader of each region.
+func (w *world) readers() []string { return w.firstRanked(1) }
 
-// ranked returns so many nodes of each region, in the order of readers.
-func (w *world) ranked(count int) []string {
+// firstRanked returns the given number of nodes of each region, in reader order.
+func (w *world) firstRanked(count int) []string {
 	var found []string
 	for id, f := range w.nodes {
 		f.mu.Lock()
@@ -259,12 +260,12 @@
 	return found
 }
 
-// losses are ways in which both readers may be lost, and none.
-var losses = []struct {
+// readerLosses holds ways in which both readers may be lost, including none.
+var readerLosses = []struct {
 	desc string
 	lose func(w *world, readers []string)
 }{
 	{"nothing is broken", func(*world, []string) {}},
-	{"all readers are refused by the platform", func(w *world, r []string) { w.refused[r[0]], w.refused[r[1]] = true, true }},
+	{"all readers are rejected by the platform", func(w *world, r []string) { w.rejected[r[0]], w.rejected[r[1]] = true, true }},
 	{"all readers are cut off from everybody", func(w *world, r []string) { w.cut[r[0]], w.cut[r[1]] = true, true }},
 }
