--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -40,7 +40,7 @@
 // Guards against reads of the platform that grow with the fleet. In steady state, one node
 // of the region nearest to the platform reads it: one call a second, plus one for each
 // burst of changes.
-func TestFewReadForAll(t *testing.T) {
+func TestPlatformReadRate(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
 		w.takeReads()
 		time.Sleep(10 * time.Second)
--- a/internal/follow/states.go
+++ b/internal/follow/states.go
@@ -19,8 +19,8 @@
 	stateReady    = "ready"
 	stateDraining = "draining"
 	// stateLapsed is a target that stays in use although its entry was removed.
-	stateLapsed = "lapsed"
-	stateGone   = "gone"
+	stateLapsed  = "lapsed"
+	stateRemoved = "gone"
 )
 
 // statesOf returns the current states of the targets in an update.
@@ -39,7 +39,7 @@
 	member := f.view.Members()[id]
 	switch {
 	case member == nil:
-		return targetStatus{state: stateGone}
+		return targetStatus{state: stateRemoved}
 	case !member.UsableUntil.IsZero():
 		return targetStatus{state: stateLapsed, usableUntil: member.UsableUntil}
 	case member.State == mesh.Draining:
--- a/internal/follow/transit_test.go
+++ b/internal/follow/transit_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMessagesAreDatedByTheQuickest(t *testing.T) {
+func TestMessagesAreDatedByShortestTransit(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	feed := feedClock{openedAt: start}
 	for _, test := range []struct {
--- a/internal/follow/world_test.go
+++ b/internal/follow/world_test.go
@@ -176,10 +176,10 @@
 		w.mu.Lock()
 		other := w.nodes[address]
 		quiet := w.announceOff
-		greeting := w.announceDelay
+		delay := w.announceDelay
 		w.mu.Unlock()
 		if w.isCut(from, address) {
-			time.Sleep(greeting)
+			time.Sleep(delay)
 		}
 		if other != nil && !quiet && !w.isCut(from, address) {
 			other.AddHint(from)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -299,7 +299,7 @@
 
 // Guards against a view that is marked complete up to a revision although a part of the
 // update could not be applied.
-func TestViewIsWholeOnlyAfterAllOfAnUpdate(t *testing.T) {
+func TestViewIsCompleteOnlyAfterFullUpdate(t *testing.T) {
 	view := NewView()
 	err := view.Apply(start, &Update{Config: &ConfigDelta{Base: 4, Version: 5}, Revision: 9})
 	assert.ErrorIs(t, err, ErrUnknownBase)
--- a/internal/mesh/parts_test.go
+++ b/internal/mesh/parts_test.go
@@ -155,8 +155,8 @@
 // Guards against a view that counts as current without the configuration, because parts
 // were lost or belong to another split.
 func TestMissingPartsBreakTheFeed(t *testing.T) {
-	whole := Diff(nil, config(1, manyRoutes(300, "a")...))
-	parts := whole.Split()
+	delta := Diff(nil, config(1, manyRoutes(300, "a")...))
+	parts := delta.Split()
 	assert.Equal(t, len(parts), 3)
 	for _, test := range []struct {
 		desc string
