--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -32,7 +32,7 @@
 func (c *sidecar) takeView(view *mesh.View) {
 	c.meter.Set(port.MetricConfigVersion, "", float64(view.Version()))
 	picture := c.picture
-	if picture.MembersVersion != view.MembersChange() {
+	if picture.MembersVersion != view.MembersGeneration() {
 		picture = c.pictureOfMembers(view)
 	}
 	picture.Table = view.Table()
@@ -41,7 +41,7 @@
 }
 
 func (c *sidecar) pictureOfMembers(view *mesh.View) proxy.Snapshot {
-	picture := proxy.Snapshot{Services: view.Takers(), Local: view.At(c.settings.TargetAddress), MembersVersion: view.MembersChange()}
+	picture := proxy.Snapshot{Services: view.ReadyByService(), Local: view.MemberAt(c.settings.TargetAddress), MembersVersion: view.MembersGeneration()}
 	hosts := make(map[string]bool, len(view.Members()))
 	for _, member := range view.Members() {
 		hosts[follow.HostOf(member.Address)] = true
--- a/internal/mesh/parts_test.go
+++ b/internal/mesh/parts_test.go
@@ -17,8 +17,9 @@
 	return made
 }
 
-// Guards against a configuration that is in force in part, or put together from parts of
-// different steps: several neighbours send parts of several steps at once, each in order.
+// Guards against a partially applied configuration, or one assembled from parts of
+// different deltas: several neighbours send the parts of several deltas at the same time,
+// each in order.
 func TestPartsMakeTheWholeOrNothing(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -37,15 +38,15 @@
 			i := random.IntN(len(feeds))
 			part := feeds[i][0]
 			feeds[i] = feeds[i][1:]
-			assert.NilError(t, view.Apply(start, &Update{Config: part, More: len(feeds[i]) > 0}))
+			assert.NilError(t, view.Apply(start, &Update{Config: part, ConfigPending: len(feeds[i]) > 0}))
 			if len(feeds[i]) == 0 {
 				feeds = slices.Delete(feeds, i, i+1)
 			}
 			inForce := view.Table().Config
-			whole := versions[inForce.Version-1]
-			assert.Equal(t, len(inForce.Routes), len(whole.Routes))
+			complete := versions[inForce.Version-1]
+			assert.Equal(t, len(inForce.Routes), len(complete.Routes))
 			want := map[string]Route{}
-			for _, route := range whole.Routes {
+			for _, route := range complete.Routes {
 				want[route.Name] = route
 			}
 			for _, route := range inForce.Routes {
@@ -57,15 +58,15 @@
 	}
 }
 
-// Guards against a departure that waits until a large configuration has been sent.
+// Guards against a departure that is not sent until a large configuration has been sent.
 func TestDepartureGoesBetweenParts(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{
 		Config: Diff(nil, config(1, manyRoutes(1400, "a")...)), Targets: []Target{{ID: "i", State: Ready, Revision: 3}}, Revision: 3,
 	}))
-	update, position := view.Since(start, view.After(Held{}))
+	update, position := view.Since(start, view.PositionFor(Checkpoint{}))
 	assert.Equal(t, len(update.Targets), 1)
-	assert.Assert(t, update.More && position.Pending())
+	assert.Assert(t, update.ConfigPending && position.Pending())
 	assert.Assert(t, len(update.Config.Changed) <= routesPerPart)
 	assert.NilError(t, view.Apply(start, &Update{Removed: []Removal{{ID: "i", Revision: 4}}, Revision: 4}))
 	update, position = view.Since(start, position)
@@ -74,16 +75,16 @@
 		update, position = view.Since(start, position)
 		assert.Equal(t, len(update.Removed), 0)
 	}
-	assert.Assert(t, !update.More)
+	assert.Assert(t, !update.ConfigPending)
 	assert.Equal(t, update.Config.Part+1, update.Config.Parts)
 }
 
-// Guards against a view that counts as current though parts of the configuration that
-// makes it so are missing.
+// Guards against a view that counts as current although parts of the configuration are
+// missing.
 func TestViewIsNotCurrentBeforeTheLastPart(t *testing.T) {
 	from, to := NewView(), NewView()
 	assert.NilError(t, from.Apply(start, &Update{Config: Diff(nil, config(1, manyRoutes(300, "a")...)), Revision: 7}))
-	position := from.After(Held{})
+	position := from.PositionFor(Checkpoint{})
 	for {
 		update, next := from.Since(start, position)
 		assert.NilError(t, to.Apply(start, update))
@@ -95,34 +96,36 @@
 		assert.Equal(t, to.Revision(), uint64(0))
 	}
 	assert.Equal(t, to.Age(start), from.Age(start))
-	assert.Equal(t, to.Held(), from.Held())
+	assert.Equal(t, to.Checkpoint(), from.Checkpoint())
 }
 
-// Guards against a new version that waits for the rest of the one it replaces.
+// Guards against a new version that is not sent until the rest of the one it replaces has
+// been sent.
 func TestReplacedConfigurationIsNotSentToItsEnd(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Config: Diff(nil, config(1, manyRoutes(1400, "a")...))}))
-	_, position := view.Since(start, view.After(Held{}))
+	_, position := view.Since(start, view.PositionFor(Checkpoint{}))
 	assert.NilError(t, view.Apply(start, &Update{Config: Diff(nil, config(2, manyRoutes(3, "b")...))}))
 	update, position := view.Since(start, position)
 	assert.Equal(t, update.Config.Version, uint64(2))
-	assert.Assert(t, !position.Pending() && !update.More)
+	assert.Assert(t, !position.Pending() && !update.ConfigPending)
 }
 
-// Guards against a broken neighbour that makes this node hold memory for ever more parts.
+// Guards against a faulty neighbour that makes this node allocate memory for an unbounded
+// number of parts.
 func TestTooManyPartsAreRefused(t *testing.T) {
 	view := NewView()
-	assert.ErrorIs(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 1, Parts: 1 << 30}}), ErrParts)
+	assert.ErrorIs(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 1, Parts: 1 << 30}}), ErrInvalidParts)
 	for version := range uint64(20) {
-		assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: version + 1, Parts: 2}, More: true}))
+		assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: version + 1, Parts: 2}, ConfigPending: true}))
 	}
-	assert.Equal(t, len(view.assemblies), keptAssemblies)
-	assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 20, Parts: 2, Part: -1}, More: true}))
+	assert.Equal(t, len(view.assemblies), maxAssemblies)
+	assert.NilError(t, view.Apply(start, &Update{Config: &ConfigDelta{Version: 20, Parts: 2, Part: -1}, ConfigPending: true}))
 }
 
-// Guards against a configuration that lacks routes, for which callers get 404: two neighbours
-// hold the routes of one version in other orders, one as the platform lists them and one
-// as it put them together, and each sends some of the parts.
+// Guards against a configuration that lacks routes, for which callers get 404: two
+// neighbours hold the routes of one version in different orders, one as listed by the
+// platform and one as assembled from deltas, and each sends some of the parts.
 func TestPartsOfTwoNeighboursFitTogether(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -137,9 +140,9 @@
 		one, other := Diff(first, listed).Split(), Diff(first, shuffled).Split()
 		for i := range one {
 			if part := one[i]; random.IntN(2) == 0 {
-				assert.NilError(t, view.Apply(start, &Update{Config: part, More: true}))
+				assert.NilError(t, view.Apply(start, &Update{Config: part, ConfigPending: true}))
 			} else {
-				assert.NilError(t, view.Apply(start, &Update{Config: other[i], More: true}))
+				assert.NilError(t, view.Apply(start, &Update{Config: other[i], ConfigPending: true}))
 			}
 		}
 		assert.Equal(t, view.Version(), uint64(2))
@@ -149,11 +152,11 @@
 	}
 }
 
-// Guards against a view that counts as current without the configuration: parts were lost,
-// or are those of another split.
+// Guards against a view that counts as current without the configuration, because parts
+// were lost or belong to another split.
 func TestMissingPartsBreakTheFeed(t *testing.T) {
-	whole := Diff(nil, config(1, manyRoutes(300, "a")...))
-	parts := whole.Split()
+	delta := Diff(nil, config(1, manyRoutes(300, "a")...))
+	parts := delta.Split()
 	assert.Equal(t, len(parts), 3)
 	for _, test := range []struct {
 		desc string
@@ -161,19 +164,19 @@
 	}{
 		{"the first is missing", parts[1:]},
 		{"the last alone", parts[2:]},
-		{"one is another's", []*ConfigDelta{parts[0], {Version: 1, Part: 1, Parts: 3, Changed: parts[0].Changed}, parts[2]}},
+		{"one belongs to another split", []*ConfigDelta{parts[0], {Version: 1, Part: 1, Parts: 3, Changed: parts[0].Changed}, parts[2]}},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			view := NewView()
 			var err error
 			for i, part := range test.sent {
-				err = view.Apply(start, &Update{Config: part, More: i+1 < len(test.sent), Revision: 5})
+				err = view.Apply(start, &Update{Config: part, ConfigPending: i+1 < len(test.sent), Revision: 5})
 			}
-			assert.ErrorIs(t, err, ErrParts)
+			assert.ErrorIs(t, err, ErrInvalidParts)
 			assert.Assert(t, view.Age(start) < 0 && view.Table() == nil)
 			assert.Equal(t, view.Revision(), uint64(0))
 			for i, part := range parts {
-				assert.NilError(t, view.Apply(start, &Update{Config: part, More: i < 2}))
+				assert.NilError(t, view.Apply(start, &Update{Config: part, ConfigPending: i < 2}))
 			}
 			assert.Equal(t, view.Version(), uint64(1))
 		})
