--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -112,7 +112,7 @@
 	target   *exchange.Pool
 	callers  *callerhttp.Server
 	// crashes is what this node knows of requests that crash targets.
-	crashes  *quarantine.Shared
+	crashes  *quarantine.SharedLedger
 	peerSide *http.Server
 	meter    *metrics.Meter
 	// picture is the last one; the follower's lock guards it.
@@ -157,7 +157,7 @@
 	c := &sidecar{
 		settings: s, log: logger, output: output, meter: metrics.New(),
 		peers: exchange.NewPool(peerConnections), target: exchange.NewPool(targetConnections),
-		crashes: quarantine.NewShared(wallClock{}),
+		crashes: quarantine.NewSharedLedger(wallClock{}),
 	}
 	c.proxy = proxy.New(proxyConfig(s, options), proxy.Ports{
 		Clock: wallClock{}, Peers: c.peers, Target: c.target, Log: logger, Meter: c.meter, Crashes: c.crashes,
--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -74,7 +74,7 @@
 		c.meter.Count(port.MetricLinesDropped, "output", int(lines))
 		c.log.Warn().Str(logfield.Kind, "output").Int64(logfield.Lines, lines).Msg("lines dropped")
 	}
-	c.meter.Set(port.MetricQuarantined, "", float64(c.crashes.Blocked()))
+	c.meter.Set(port.MetricQuarantined, "", float64(c.crashes.BlockedCount()))
 	if dropped := c.crashes.TakeDropped(); dropped > 0 {
 		c.meter.Count(port.MetricCrashesDropped, "", dropped)
 	}
--- a/internal/adapter/feedws/feedws.go
+++ b/internal/adapter/feedws/feedws.go
@@ -66,7 +66,7 @@
 		}
 		defer conn.CloseNow()
 		conn.SetReadLimit(maxNotice)
-		feed := notices.Open()
+		feed := notices.NewFeed()
 		// The read ends when the follower has gone.
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
@@ -168,7 +168,7 @@
 	conn.SetReadLimit(maxUpdate)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	feed := c.notices.Open()
+	feed := c.notices.NewFeed()
 	go sendNotices(ctx, conn, c.notices, feed, c.sent)
 	for {
 		update, notice, err := read(ctx, conn)
--- a/internal/adapter/feedws/feedws_test.go
+++ b/internal/adapter/feedws/feedws_test.go
@@ -135,7 +135,7 @@
 
 func serveFeed(t *testing.T, listener net.Listener, source Source, sent func(int)) {
 	t.Helper()
-	server := httptest.NewUnstartedServer(NewHandler(source, quarantine.NewShared(wallClock{}), sent))
+	server := httptest.NewUnstartedServer(NewHandler(source, quarantine.NewSharedLedger(wallClock{}), sent))
 	server.Listener = listener
 	server.Start()
 	t.Cleanup(server.Close)
@@ -146,7 +146,7 @@
 func (wallClock) Now() time.Time { return time.Now() }
 
 func newClient() *Client {
-	return NewClient(&http.Transport{}, quarantine.NewShared(wallClock{}), func(int) {})
+	return NewClient(&http.Transport{}, quarantine.NewSharedLedger(wallClock{}), func(int) {})
 }
 
 var errTaken = errors.New("taken")
--- a/internal/adapter/feedws/notices_test.go
+++ b/internal/adapter/feedws/notices_test.go
@@ -18,9 +18,9 @@
 
 const poison = quarantine.Fingerprint(7)
 
-func crashed(crashes *quarantine.Shared, ids ...uint64) {
+func crashed(crashes *quarantine.SharedLedger, ids ...uint64) {
 	for _, id := range ids {
-		crashes.Crashed(quarantine.Crash{ID: id, Answered: true, Suspects: []quarantine.Fingerprint{poison}})
+		crashes.RecordCrash(quarantine.Crash{ID: id, Answered: true, Suspects: []quarantine.Fingerprint{poison}})
 	}
 }
 
@@ -29,7 +29,7 @@
 func TestNoticesGoBothWays(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	above, below := quarantine.NewShared(wallClock{}), quarantine.NewShared(wallClock{})
+	above, below := quarantine.NewSharedLedger(wallClock{}), quarantine.NewSharedLedger(wallClock{})
 	var mu sync.Mutex
 	bytes := 0
 	sent := func(count int) {
@@ -49,7 +49,7 @@
 	crashed(above, 1, 2)
 	crashed(below, 3)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if above.Quarantined(poison) > 0 && below.Quarantined(poison) > 0 {
+		if above.BlockRemaining(poison) > 0 && below.BlockRemaining(poison) > 0 {
 			return poll.Success()
 		}
 		return poll.Continue("not both know")
@@ -64,11 +64,11 @@
 func TestNoticesPassBetweenFollowers(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	go http.Serve(listener, NewHandler(sourceOf{&mesh.Update{}}, quarantine.NewShared(wallClock{}), func(int) {}))
+	go http.Serve(listener, NewHandler(sourceOf{&mesh.Update{}}, quarantine.NewSharedLedger(wallClock{}), func(int) {}))
 	defer listener.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	followers := []*quarantine.Shared{quarantine.NewShared(wallClock{}), quarantine.NewShared(wallClock{})}
+	followers := []*quarantine.SharedLedger{quarantine.NewSharedLedger(wallClock{}), quarantine.NewSharedLedger(wallClock{})}
 	for _, crashes := range followers {
 		client := NewClient(&http.Transport{}, crashes, func(int) {})
 		go func() {
@@ -77,7 +77,7 @@
 	}
 	crashed(followers[0], 1, 2, 3)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if followers[1].Quarantined(poison) > 0 {
+		if followers[1].BlockRemaining(poison) > 0 {
 			return poll.Success()
 		}
 		return poll.Continue("the other follower doesn't know")
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -93,7 +93,7 @@
 	// Limit bounds what the customer holds, guaranteed and borrowed together.
 	Limit float64
 	// Long bounds what the customer's long requests hold; 0 means Limit.
-	Long float64
+	LongLimit float64
 }
 
 // Terms are what the contracts say of the target's service.
@@ -105,5 +105,5 @@
 	QueuePerSlot int
 	// LongLent is the part of the slots, out of those guaranteed to other
 	// customers, that long requests may borrow; 0 to 1.
-	LongLent float64
+	LongBorrowLimit float64
 }
--- a/internal/admission/customer.go
+++ b/internal/admission/customer.go
@@ -82,8 +82,8 @@
 	c.ownLong = int(math.Ceil(c.guaranteed))
 	c.limit = FloorSlots(share.Limit, terms.Slots)
 	c.longLimit = c.limit
-	if share.Long > 0 {
-		c.longLimit = FloorSlots(share.Long, terms.Slots)
+	if share.LongLimit > 0 {
+		c.longLimit = FloorSlots(share.LongLimit, terms.Slots)
 	}
 	c.queueBound = terms.QueuePerSlot * max(c.ownLong, 1)
 }
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -21,7 +21,7 @@
 // target is back, so that a wrong judgement costs a pause and no more.
 //
 // It is not safe for concurrent use.
-type Drain struct {
+type Breaker struct {
 	sheds int
 	pause time.Duration
 	until time.Time
@@ -30,7 +30,7 @@
 // Offer reports whether a call may go to the target now. If not, it says how
 // long until the next trial. The call that is let through as a trial keeps
 // others back until its result is known or the pause is over again.
-func (d *Drain) Offer(now time.Time) (wait time.Duration, ok bool) {
+func (d *Breaker) Allow(now time.Time) (wait time.Duration, ok bool) {
 	if d.sheds < drainAfter {
 		return 0, true
 	}
@@ -43,7 +43,7 @@
 
 // Shed takes a call that the target shed; alone says that it ran no other call
 // of ours.
-func (d *Drain) Shed(now time.Time, alone bool) {
+func (d *Breaker) RecordShed(now time.Time, alone bool) {
 	if !alone {
 		return
 	}
@@ -56,4 +56,4 @@
 }
 
 // Took takes a call that the target did not shed.
-func (d *Drain) Took() { *d = Drain{} }
+func (d *Breaker) RecordAccepted() { *d = Breaker{} }
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -52,8 +52,8 @@
 func (m *model) drawTerms() Terms {
 	terms := Terms{
 		Slots: rapid.IntRange(1, 18).Draw(m.t, "slots"), Shares: map[string]Share{},
-		QueuePerSlot: rapid.IntRange(1, 4).Draw(m.t, "queue"),
-		LongLent:     float64(rapid.IntRange(0, 2).Draw(m.t, "long lent")) / 4,
+		QueuePerSlot:    rapid.IntRange(1, 4).Draw(m.t, "queue"),
+		LongBorrowLimit: float64(rapid.IntRange(0, 2).Draw(m.t, "long lent")) / 4,
 	}
 	left := 20
 	for _, name := range m.names {
@@ -103,7 +103,7 @@
 	for _, share := range m.terms.Shares {
 		claimed += share.Guaranteed
 	}
-	return FloorSlots(m.terms.LongLent, m.q.Slots()) + FloorSlots(1-claimed, m.q.Slots())
+	return FloorSlots(m.terms.LongBorrowLimit, m.q.Slots()) + FloorSlots(1-claimed, m.q.Slots())
 }
 
 // reserved is how many slots a customer leaves free for deeper calls of its own
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -220,7 +220,7 @@
 // that nobody is guaranteed are lent to archives freely.
 func TestLongRequestsBorrowABoundedPart(t *testing.T) {
 	b := newBench(t, 8, nil)
-	b.q.Configure(b.now, Terms{Slots: 8, QueuePerSlot: 4, LongLent: 0.25, Shares: map[string]Share{
+	b.q.Configure(b.now, Terms{Slots: 8, QueuePerSlot: 4, LongBorrowLimit: 0.25, Shares: map[string]Share{
 		"a": {Guaranteed: 0.25, Limit: 1}, "b": {Guaranteed: 0.5, Limit: 1},
 	}})
 	b.admit(6, Request{Customer: "a", Long: true})
@@ -230,7 +230,7 @@
 
 // A customer's own archives leave room for its own short requests.
 func TestLongLimitLeavesRoomForTheCustomersOwnShortRequests(t *testing.T) {
-	b := newBench(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1, Long: 0.5}})
+	b := newBench(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1, LongLimit: 0.5}})
 	b.admit(2, Request{Customer: "a", Long: true})
 	b.enqueue(2, Request{Customer: "a", Long: true})
 	b.admit(2, Request{Customer: "a", Rank: 1})
--- a/internal/admission/terms.go
+++ b/internal/admission/terms.go
@@ -71,7 +71,7 @@
 		q.lentLong += c.lentLong()
 		q.tiers.place(c)
 	}
-	q.lentLongBound = FloorSlots(q.terms.LongLent, slots) + FloorSlots(max(1-claimed, 0), slots)
+	q.lentLongBound = FloorSlots(q.terms.LongBorrowLimit, slots) + FloorSlots(max(1-claimed, 0), slots)
 }
 
 // Shed says that the target turned a request away although the node had counted
--- a/internal/experiment/admission/world.go
+++ b/internal/experiment/admission/world.go
@@ -150,7 +150,7 @@
 		shares[d.customer] = admission.Share{Guaranteed: d.share, Limit: d.limit}
 	}
 	for target := range s.deployment.Targets {
-		terms := admission.Terms{Slots: s.deployment.Slots, Shares: shares, QueuePerSlot: s.config.QueuePerSlot, LongLent: s.longLent}
+		terms := admission.Terms{Slots: s.deployment.Slots, Shares: shares, QueuePerSlot: s.config.QueuePerSlot, LongBorrowLimit: s.longLent}
 		w.queues = append(w.queues, newQueue(s.policy, terms, s.config.Seed+uint64(target)))
 	}
 	w.measure = newMeasure(w)
--- a/internal/experiment/largeanswers/largeanswers.go
+++ b/internal/experiment/largeanswers/largeanswers.go
@@ -66,7 +66,7 @@
 func (l Load) Taken(seed uint64) []Answer {
 	random := rand.New(rand.NewPCG(seed, 2))
 	logNormal := func() float64 { return math.Exp(spread*random.NormFloat64() - spread*spread/2) }
-	share := link.NewShare(l.Link)
+	share := link.NewPacer(l.Link)
 	between := l.Size / share.Rate() / l.Demand * float64(time.Second)
 	var taken []Answer
 	now := start
@@ -76,7 +76,7 @@
 		if _, ok := share.Admit(now, l.Size, l.Within-3*l.Hold/2); !ok {
 			continue
 		}
-		share.Correct(l.Size, size)
+		share.CorrectSize(l.Size, size)
 		taken = append(taken, Answer{Arrived: now, Ready: now.Add(hold), Size: size})
 	}
 	slices.SortFunc(taken, func(a, b Answer) int { return a.Ready.Compare(b.Ready) })
@@ -86,23 +86,23 @@
 // InTime sends the answers in an order, one after another, and returns which part
 // of them came within the time that callers want.
 func (l Load) InTime(answers []Answer, order Order) float64 {
-	var q link.Turns
-	for range link.AtOnce {
-		q.Ask(&link.Turn{})
+	var q link.TransferQueue
+	for range link.MaxConcurrent {
+		q.Start(&link.Transfer{})
 	}
-	rate := link.NewShare(l.Link).Rate()
-	waiting := map[*link.Turn]Answer{}
+	rate := link.NewPacer(l.Link).Rate()
+	waiting := map[*link.Transfer]Answer{}
 	now, good, next := start, 0, 0
 	for next < len(answers) || len(waiting) > 0 {
 		if len(waiting) == 0 && answers[next].Ready.After(now) {
 			now = answers[next].Ready
 		}
 		for ; next < len(answers) && !answers[next].Ready.After(now); next++ {
-			turn := &link.Turn{Due: order.Due(answers[next], l.Within)}
+			turn := &link.Transfer{Deadline: order.Due(answers[next], l.Within)}
 			waiting[turn] = answers[next]
-			q.Ask(turn)
+			q.Start(turn)
 		}
-		turn := q.End()
+		turn := q.Finish()
 		now = now.Add(time.Duration(waiting[turn].Size / rate * float64(time.Second)))
 		if now.Sub(waiting[turn].Arrived) <= l.Within {
 			good++
--- a/internal/follow/notices.go
+++ b/internal/follow/notices.go
@@ -10,7 +10,7 @@
 // they reach every node from any.
 type Notices interface {
 	// Open returns the name of a new feed.
-	Open() quarantine.Feed
+	NewFeed() quarantine.Feed
 	// Since returns what the neighbour on a feed lacks that was told everything up to a
 	// position, its position after that, and a channel that is closed when there is more.
 	Since(position uint64, to quarantine.Feed) (notice *quarantine.Notice, next uint64, changed <-chan struct{})
--- a/internal/follow/world_link_test.go
+++ b/internal/follow/world_link_test.go
@@ -168,7 +168,7 @@
 	var noticing sync.WaitGroup
 	defer noticing.Wait()
 	defer cancel()
-	near, far := end{l.node, own, own.Open()}, end{address, theirs, theirs.Open()}
+	near, far := end{l.node, own, own.NewFeed()}, end{address, theirs, theirs.NewFeed()}
 	noticing.Go(func() { w.passNotices(ctx, near, far) })
 	noticing.Go(func() { w.passNotices(ctx, far, near) })
 	silence := time.AfterFunc(1200*time.Millisecond, cancel)
--- a/internal/follow/world_notices_test.go
+++ b/internal/follow/world_notices_test.go
@@ -13,7 +13,7 @@
 // end is one end of a feed.
 type end struct {
 	node    string
-	crashes *quarantine.Shared
+	crashes *quarantine.SharedLedger
 	feed    quarantine.Feed
 }
 
@@ -43,7 +43,7 @@
 	defer w.mu.Unlock()
 	var found []string
 	for id, crashes := range w.crashes {
-		if !w.cut[id] && crashes.Quarantined(request) == 0 {
+		if !w.cut[id] && crashes.BlockRemaining(request) == 0 {
 			found = append(found, id)
 		}
 	}
@@ -55,5 +55,5 @@
 	w.mu.Lock()
 	crashes := w.crashes[node]
 	w.mu.Unlock()
-	crashes.Crashed(quarantine.Crash{ID: id, Answered: true, Suspects: suspects})
+	crashes.RecordCrash(quarantine.Crash{ID: id, Answered: true, Suspects: suspects})
 }
--- a/internal/follow/world_test.go
+++ b/internal/follow/world_test.go
@@ -67,7 +67,7 @@
 	nodes    map[string]*Follower
 	// crashes is what each node knows of requests that crash targets, and noticed the bytes
 	// of notices that each node has sent.
-	crashes map[string]*quarantine.Shared
+	crashes map[string]*quarantine.SharedLedger
 	noticed map[string]int
 	stops   map[string]context.CancelFunc
 	// lives end with the process of a node, and with it the feeds that it serves.
@@ -89,7 +89,7 @@
 		ended:    map[string]time.Time{},
 		linkFree: map[string]time.Time{}, sent: map[string]int{},
 		targets: map[string]mesh.Target{}, changed: make(chan struct{}), revision: 1,
-		crashes: map[string]*quarantine.Shared{}, noticed: map[string]int{},
+		crashes: map[string]*quarantine.SharedLedger{}, noticed: map[string]int{},
 		refused: map[string]bool{}, cut: map[string]bool{}, nodes: map[string]*Follower{}, stops: map[string]context.CancelFunc{}, lives: map[string]context.Context{},
 	}
 	w.publish(1)
@@ -118,7 +118,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w.mu.Lock()
 	w.nodes[id] = f
-	w.crashes[id] = quarantine.NewShared(wallClock{})
+	w.crashes[id] = quarantine.NewSharedLedger(wallClock{})
 	w.stops[id] = stop
 	w.lives[id] = ctx
 	w.mu.Unlock()
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -20,7 +20,7 @@
 
 	mu      sync.Mutex
 	queue   *admission.Queue
-	drain   admission.Drain
+	drain   admission.Breaker
 	waiters map[string]*waiter
 }
 
@@ -79,7 +79,7 @@
 }
 
 // Enter waits for a slot. On success the caller must call Leave once.
-func (g *Gate) Enter(ctx context.Context, r admission.Request) *port.Refusal {
+func (g *Gate) Acquire(ctx context.Context, r admission.Request) *port.Refusal {
 	decision, w := g.offer(r)
 	switch decision.Verdict {
 	case admission.Admitted:
@@ -135,7 +135,7 @@
 }
 
 // Leave gives back the slot of a request that Enter let through.
-func (g *Gate) Leave(id string) {
+func (g *Gate) Release(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.wake(g.queue.Release(g.clock.Now(), id))
@@ -151,10 +151,10 @@
 // MayOffer reports whether the target takes work, for a call that has a slot. It
 // is asked after the wait for the slot, since the target may begin to drain
 // meanwhile.
-func (g *Gate) MayOffer() *port.Refusal {
+func (g *Gate) CheckDraining() *port.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if wait, ok := g.drain.Offer(g.clock.Now()); !ok {
+	if wait, ok := g.drain.Allow(g.clock.Now()); !ok {
 		return port.Refuse(port.ReasonDraining, wait, "the target sheds all work and is left alone")
 	}
 	return nil
@@ -169,14 +169,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !refused {
-		g.drain.Took()
+		g.drain.RecordAccepted()
 		return
 	}
 	if refusal.Reason != port.ReasonShed {
 		return
 	}
 	now := g.clock.Now()
-	g.drain.Shed(now, g.queue.Running() == 1)
+	g.drain.RecordShed(now, g.queue.Running() == 1)
 	g.wake(g.queue.Shed(now))
 }
 
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -27,7 +27,7 @@
 func heldGate(t *testing.T) *Gate {
 	g := New(virtualClock{}, 1)
 	g.Configure(oneSlot())
-	assert.Check(t, g.Enter(t.Context(), gateRequest("running", time.Minute)) == nil)
+	assert.Check(t, g.Acquire(t.Context(), gateRequest("running", time.Minute)) == nil)
 	return g
 }
 
@@ -38,7 +38,7 @@
 // enterLater starts a goroutine that waits at the gate and tells the outcome.
 func enterLater(ctx context.Context, g *Gate, r admission.Request) <-chan *port.Refusal {
 	outcome := make(chan *port.Refusal, 1)
-	go func() { outcome <- g.Enter(ctx, r) }()
+	go func() { outcome <- g.Acquire(ctx, r) }()
 	synctest.Wait()
 	return outcome
 }
@@ -53,7 +53,7 @@
 		next := enterLater(t.Context(), g, gateRequest("next", time.Minute))
 		hangUp()
 		assert.Equal(t, (<-gone).Reason, port.ReasonDeadline)
-		g.Leave("running")
+		g.Release("running")
 		assert.Check(t, <-next == nil)
 		running, waiting := g.Counts()
 		assert.DeepEqual(t, []int{running, waiting}, []int{1, 0})
@@ -69,7 +69,7 @@
 		late := gateRequest("late", time.Second)
 		_, w := g.offer(late)
 		next := enterLater(t.Context(), g, gateRequest("next", time.Minute))
-		g.Leave("running")
+		g.Release("running")
 		time.Sleep(time.Minute / 2)
 		assert.Equal(t, g.settle(t.Context(), late, w).Reason, port.ReasonDeadline)
 		assert.Check(t, <-next == nil)
@@ -82,7 +82,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := heldGate(t)
 		begin := time.Now()
-		refusal := g.Enter(t.Context(), gateRequest("hopeful", time.Second))
+		refusal := g.Acquire(t.Context(), gateRequest("hopeful", time.Second))
 		assert.Equal(t, refusal.Reason, port.ReasonDeadline)
 		assert.Check(t, refusal.RetryAfter > 0)
 		assert.Equal(t, time.Since(begin), time.Second)
@@ -99,7 +99,7 @@
 		waiting := enterLater(t.Context(), g, gateRequest("waiting", time.Minute))
 		g.Configure(admission.Terms{Slots: 1, QueuePerSlot: 4})
 		assert.Equal(t, (<-waiting).Reason, port.ReasonNoGrant)
-		g.Leave("running")
+		g.Release("running")
 		running, _ := g.Counts()
 		assert.Equal(t, running, 0)
 	})
@@ -114,15 +114,15 @@
 		terms.Slots = 2
 		g.Configure(terms)
 		for _, id := range []string{"one", "two"} {
-			assert.Check(t, g.Enter(t.Context(), gateRequest(id, time.Minute)) == nil)
+			assert.Check(t, g.Acquire(t.Context(), gateRequest(id, time.Minute)) == nil)
 		}
 		g.Observe(&port.Unknown{Stage: "answer"})
 		assert.Equal(t, g.queue.Slots(), 2)
 		g.Observe(port.Refuse(port.ReasonShed, 0, "shed"))
-		g.Leave("two")
+		g.Release("two")
 		assert.Equal(t, g.queue.Slots(), 1)
 		waiting := enterLater(t.Context(), g, gateRequest("three", time.Minute))
-		g.Leave("one")
+		g.Release("one")
 		assert.Check(t, <-waiting == nil)
 	})
 }
@@ -139,9 +139,9 @@
 			go func() {
 				defer hangUp()
 				r := gateRequest(fmt.Sprintf("r%d", i), time.Duration(i%5+1)*10*time.Millisecond)
-				if g.Enter(ctx, r) == nil {
+				if g.Acquire(ctx, r) == nil {
 					time.Sleep(time.Duration(i%3) * time.Millisecond)
-					g.Leave(r.ID)
+					g.Release(r.ID)
 				}
 			}()
 			if i%50 == 0 {
@@ -176,12 +176,12 @@
 					time.Sleep(time.Duration(float64(n) / rate * float64(time.Second)))
 					start := time.Now()
 					r := admission.Request{ID: fmt.Sprintf("%s-%d", customer, n), Customer: customer, Deadline: start.Add(2 * time.Second)}
-					if refusal := g.Enter(t.Context(), r); refusal != nil {
+					if refusal := g.Acquire(t.Context(), r); refusal != nil {
 						assert.Check(t, time.Since(start) == 0, "told after %s", time.Since(start))
 						return
 					}
 					time.Sleep(service)
-					g.Leave(r.ID)
+					g.Release(r.ID)
 					served[i].Add(1)
 				})
 			}
@@ -202,15 +202,15 @@
 		g := New(virtualClock{}, 1)
 		g.Configure(oneSlot())
 		for _, id := range []string{"one", "two"} {
-			assert.Check(t, g.Enter(t.Context(), gateRequest(id, time.Minute)) == nil)
-			assert.Check(t, g.MayOffer() == nil)
+			assert.Check(t, g.Acquire(t.Context(), gateRequest(id, time.Minute)) == nil)
+			assert.Check(t, g.CheckDraining() == nil)
 			g.Observe(port.Refuse(port.ReasonShed, 0, "shed"))
-			g.Leave(id)
+			g.Release(id)
 		}
-		assert.Check(t, g.MayOffer() != nil)
+		assert.Check(t, g.CheckDraining() != nil)
 		time.Sleep(time.Second)
-		assert.Check(t, g.MayOffer() == nil, "the trial")
+		assert.Check(t, g.CheckDraining() == nil, "the trial")
 		g.Observe(port.Refuse(port.ReasonDeadline, 0, "not sent"))
-		assert.Check(t, g.MayOffer() != nil)
+		assert.Check(t, g.CheckDraining() != nil)
 	})
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -10,7 +10,7 @@
 const (
 	// Large is the size from which an answer is paced. Below it an answer takes
 	// less than 30 ms of a link of 10 Mbit/s, and holds no other up for long.
-	Large = 32 << 10
+	LargeSize = 32 << 10
 	// share is the part of the link that answers may take together. The rest is
 	// for acknowledgements, the headers of packets and what is not counted here.
 	share = 0.93
@@ -23,7 +23,7 @@
 
 // Share is the part of a link that answers have. It is not safe for
 // concurrent use.
-type Share struct {
+type Pacer struct {
 	// rate is what all answers together may take, in bytes a second; 0 for a link that needs no pacing.
 	rate float64
 	// backlog is what is yet to be sent, as of at.
@@ -37,13 +37,13 @@
 
 // NewShare returns the share of a link of so many bytes a second; 0 means that
 // the link's speed is not known and nothing is paced.
-func NewShare(bytesPerSecond float64) *Share { return &Share{rate: share * bytesPerSecond} }
+func NewPacer(bytesPerSecond float64) *Pacer { return &Pacer{rate: share * bytesPerSecond} }
 
 // Rate is the pace of answers in bytes a second.
-func (s *Share) Rate() float64 { return s.rate }
+func (s *Pacer) Rate() float64 { return s.rate }
 
 // Wait is how long a new large answer waits for those ahead of it.
-func (s *Share) Wait(now time.Time) time.Duration {
+func (s *Pacer) Wait(now time.Time) time.Duration {
 	if s.rate <= 0 {
 		return 0
 	}
@@ -54,8 +54,8 @@
 // Admit takes an answer of an expected size into the backlog, or reports false
 // if its last byte would wait longer than it may, and when to come back. An
 // answer that finds the link free is always taken.
-func (s *Share) Admit(now time.Time, size float64, wait time.Duration) (retryAfter time.Duration, ok bool) {
-	if s.rate <= 0 || size < Large {
+func (s *Pacer) Admit(now time.Time, size float64, wait time.Duration) (retryAfter time.Duration, ok bool) {
+	if s.rate <= 0 || size < LargeSize {
 		return 0, true
 	}
 	if s.Wait(now) < nearlyFree {
@@ -64,7 +64,7 @@
 	}
 	alone := time.Duration(size / s.rate * float64(time.Second))
 	// Those sent beside it take as much of the link as it does.
-	if took := s.Wait(now) + AtOnce*alone; took > wait {
+	if took := s.Wait(now) + MaxConcurrent*alone; took > wait {
 		return s.bookReturn(now, took-wait, alone), false
 	}
 	s.backlog += size
@@ -77,7 +77,7 @@
 // bookReturn tells a refused caller when the link is likely to have room for it.
 // Each refusal books the time of one answer, so that callers who were refused
 // together don't come back together and are refused again.
-func (s *Share) bookReturn(now time.Time, earliest, alone time.Duration) time.Duration {
+func (s *Pacer) bookReturn(now time.Time, earliest, alone time.Duration) time.Duration {
 	if first := now.Add(earliest); s.nextReturn.Before(first) {
 		s.nextReturn = first
 	} else {
@@ -90,8 +90,8 @@
 }
 
 // Correct replaces the expected size of an admitted answer by its true one.
-func (s *Share) Correct(expected, size float64) {
-	if s.rate > 0 && expected >= Large {
+func (s *Pacer) CorrectSize(expected, size float64) {
+	if s.rate > 0 && expected >= LargeSize {
 		s.backlog = max(0, s.backlog+size-expected)
 	}
 }
@@ -100,7 +100,7 @@
 // to other VMs. Large answers get what these leave. At a VM whose link carries 21
 // archives a second, 50 calls a second took an eighth of it; not counted, they
 // filled its queue all the same.
-func (s *Share) Small(now time.Time, bytes int) {
+func (s *Pacer) CountUnpaced(now time.Time, bytes int) {
 	if s.rate <= 0 {
 		return
 	}
@@ -109,7 +109,7 @@
 	s.pay(now, bytes)
 }
 
-func (s *Share) drain(now time.Time) {
+func (s *Pacer) drain(now time.Time) {
 	if !s.at.IsZero() {
 		s.backlog = max(0, s.backlog-s.rate*now.Sub(s.at).Seconds())
 	}
@@ -117,7 +117,7 @@
 }
 
 // Pace returns how long to wait before so many bytes of a large answer are sent.
-func (s *Share) Pace(now time.Time, bytes int) time.Duration {
+func (s *Pacer) Reserve(now time.Time, bytes int) time.Duration {
 	if s.rate <= 0 {
 		return 0
 	}
@@ -125,7 +125,7 @@
 	return max(0, s.paid.Sub(now))
 }
 
-func (s *Share) pay(now time.Time, bytes int) {
+func (s *Pacer) pay(now time.Time, bytes int) {
 	if earliest := now.Add(-time.Duration(burst / s.rate * float64(time.Second))); s.paid.Before(earliest) {
 		s.paid = earliest
 	}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -16,7 +16,7 @@
 func TestLargeAnswersWaitNoLongerThanTheyMay(t *testing.T) {
 	const size = 90e3
 	const mayWait = 300 * time.Millisecond
-	s := NewShare(15.4e6 / 8)
+	s := NewPacer(15.4e6 / 8)
 	taken, refused := 0, 0
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(23 * time.Millisecond) {
 		retryAfter, ok := s.Admit(now, size, mayWait)
@@ -37,8 +37,8 @@
 // another, as the link will have room for them.
 func TestRefusedTogetherReturnApart(t *testing.T) {
 	const size = 90e3
-	s := NewShare(15.4e6 / 8)
-	s.Small(start, 2e6)
+	s := NewPacer(15.4e6 / 8)
+	s.CountUnpaced(start, 2e6)
 	last := time.Duration(0)
 	for range 10 {
 		retryAfter, ok := s.Admit(start, size, 0)
@@ -50,11 +50,11 @@
 
 // What is sent keeps to the pace, whatever the chunks.
 func TestPace(t *testing.T) {
-	s := NewShare(1e6)
+	s := NewPacer(1e6)
 	now := start
 	sent := 0
 	for now.Before(start.Add(time.Second)) {
-		now = now.Add(s.Pace(now, 8<<10))
+		now = now.Add(s.Reserve(now, 8<<10))
 		sent += 8 << 10
 	}
 	assert.Assert(t, float64(sent) <= s.Rate()+burst+8<<10, "%d", sent)
@@ -65,15 +65,15 @@
 // that both together never exceed it.
 func TestLargeAnswersGetWhatSmallOnesLeave(t *testing.T) {
 	const step = 10 * time.Millisecond
-	s := NewShare(1e6)
+	s := NewPacer(1e6)
 	small, large := 0, 0
 	next := start
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(step) {
 		chunk := int(s.Rate() / 2 * step.Seconds())
-		s.Small(now, chunk)
+		s.CountUnpaced(now, chunk)
 		small += chunk
 		for !next.After(now) {
-			next = now.Add(max(s.Pace(now, 4<<10), time.Microsecond))
+			next = now.Add(max(s.Reserve(now, 4<<10), time.Microsecond))
 			large += 4 << 10
 		}
 	}
@@ -82,9 +82,9 @@
 }
 
 func TestUnknownLinkIsNotPaced(t *testing.T) {
-	s := NewShare(0)
+	s := NewPacer(0)
 	_, ok := s.Admit(start, 1e9, 0)
 	assert.Assert(t, ok)
-	assert.Equal(t, s.Pace(start, 1e9), time.Duration(0))
+	assert.Equal(t, s.Reserve(start, 1e9), time.Duration(0))
 	assert.Equal(t, s.Wait(start), time.Duration(0))
 }
--- a/internal/link/turns.go
+++ b/internal/link/turns.go
@@ -8,12 +8,12 @@
 // AtOnce is how many large answers are sent at a time. If all were sent together,
 // each would take as long as all; one alone can't fill the link on a long way, and
 // would hold up all others while its reader is slow.
-const AtOnce = 2
+const MaxConcurrent = 2
 
 // Turn is a large answer that is sent or waits to be.
-type Turn struct {
+type Transfer struct {
 	// Due is when the answer must be with its caller to be in time.
-	Due time.Time
+	Deadline time.Time
 }
 
 // Turns orders the large answers that cross a VM's link: the one that is due
@@ -22,19 +22,19 @@
 // early and a slow one, with the least time left, after all of those: of answers
 // that had 1,200 ms, one in five was late for that. Nothing is left to wait for
 // ever: what is due long ago goes first. It is not safe for concurrent use.
-type Turns struct {
+type TransferQueue struct {
 	sending int
-	waiting []*Turn
+	waiting []*Transfer
 }
 
 // Ask takes an answer in and reports whether it may be sent at once.
-func (q *Turns) Ask(turn *Turn) bool {
-	if q.sending < AtOnce {
+func (q *TransferQueue) Start(turn *Transfer) bool {
+	if q.sending < MaxConcurrent {
 		q.sending++
 		return true
 	}
-	at, _ := slices.BinarySearchFunc(q.waiting, turn, func(waiting, new *Turn) int {
-		if waiting.Due.After(new.Due) {
+	at, _ := slices.BinarySearchFunc(q.waiting, turn, func(waiting, new *Transfer) int {
+		if waiting.Deadline.After(new.Deadline) {
 			return 1
 		}
 		return -1
@@ -45,7 +45,7 @@
 
 // End takes note that an answer has been sent or given up, and returns the one
 // to be sent next, or nil.
-func (q *Turns) End() *Turn {
+func (q *TransferQueue) Finish() *Transfer {
 	if len(q.waiting) == 0 {
 		q.sending--
 		return nil
@@ -56,7 +56,7 @@
 }
 
 // Cancel takes a waiting answer out. It reports false for one whose turn came.
-func (q *Turns) Cancel(turn *Turn) bool {
+func (q *TransferQueue) Cancel(turn *Transfer) bool {
 	at := slices.Index(q.waiting, turn)
 	if at < 0 {
 		return false
--- a/internal/link/turns_test.go
+++ b/internal/link/turns_test.go
@@ -8,20 +8,20 @@
 )
 
 func TestTurnsGoByDueTime(t *testing.T) {
-	var q Turns
-	for range AtOnce {
-		assert.Assert(t, q.Ask(&Turn{Due: start}))
+	var q TransferQueue
+	for range MaxConcurrent {
+		assert.Assert(t, q.Start(&Transfer{Deadline: start}))
 	}
-	late, early, gone := &Turn{Due: start.Add(2 * time.Second)}, &Turn{Due: start.Add(time.Second)}, &Turn{Due: start}
-	for _, turn := range []*Turn{late, early, gone} {
-		assert.Assert(t, !q.Ask(turn))
+	late, early, gone := &Transfer{Deadline: start.Add(2 * time.Second)}, &Transfer{Deadline: start.Add(time.Second)}, &Transfer{Deadline: start}
+	for _, turn := range []*Transfer{late, early, gone} {
+		assert.Assert(t, !q.Start(turn))
 	}
 	assert.Assert(t, q.Cancel(gone))
-	assert.Equal(t, q.End(), early)
+	assert.Equal(t, q.Finish(), early)
 	assert.Assert(t, !q.Cancel(early), "its turn came")
-	assert.Equal(t, q.End(), late)
-	for range AtOnce {
-		assert.Assert(t, q.End() == nil)
+	assert.Equal(t, q.Finish(), late)
+	for range MaxConcurrent {
+		assert.Assert(t, q.Finish() == nil)
 	}
-	assert.Assert(t, q.Ask(&Turn{}))
+	assert.Assert(t, q.Start(&Transfer{}))
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -87,12 +87,12 @@
 			return admission.Request{ID: id, Customer: "co-operative", Deadline: time.Now().Add(time.Minute)}
 		}
 		for _, id := range []string{"one", "two", "three", "shed"} {
-			assert.Check(t, g.Enter(t.Context(), request(id)) == nil)
+			assert.Check(t, g.Acquire(t.Context(), request(id)) == nil)
 		}
 		g.Observe(port.Refuse(port.ReasonShed, 0, "shed"))
-		g.Leave("shed")
+		g.Release("shed")
 		begin := time.Now()
-		assert.Check(t, g.Enter(t.Context(), request("waiting")) == nil)
+		assert.Check(t, g.Acquire(t.Context(), request("waiting")) == nil)
 		assert.Check(t, time.Since(begin) <= 3*time.Second, "waited %s", time.Since(begin))
 	})
 }
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -50,24 +50,24 @@
 	if refusal := n.catchUp(call); refusal != nil {
 		return nil, nil, refusal
 	}
-	if refusal := n.gate.Enter(ctx, n.admissionRequest(call)); refusal != nil {
+	if refusal := n.gate.Acquire(ctx, n.admissionRequest(call)); refusal != nil {
 		return nil, nil, refusal
 	}
-	if refusal := n.gate.MayOffer(); refusal != nil {
-		n.gate.Leave(call.ID)
+	if refusal := n.gate.CheckDraining(); refusal != nil {
+		n.gate.Release(call.ID)
 		return nil, nil, refusal
 	}
 	answer, err := n.ports.Target.Do(ctx, call)
 	n.gate.Observe(err)
 	if err != nil {
-		n.gate.Leave(call.ID)
+		n.gate.Release(call.ID)
 		return nil, nil, err
 	}
 	answer.Owner = n.config.Self.ID
 	answer.Body = newStallReader(answer.Body, call.Stall)
 	return answer, func() {
 		answer.Body.Close()
-		n.gate.Leave(call.ID)
+		n.gate.Release(call.ID)
 	}, nil
 }
 
--- a/internal/node/terms.go
+++ b/internal/node/terms.go
@@ -14,12 +14,12 @@
 		return terms
 	}
 	terms.Slots = service.Slots
-	terms.LongLent = service.LongLentPart()
+	terms.LongBorrowLimit = service.LongLentPart()
 	for i := range current.Set().Contracts {
 		contract := &current.Set().Contracts[i]
 		if grant := contract.Grant(service.Name); grant != nil {
 			terms.Shares[contract.Customer] = admission.Share{
-				Guaranteed: grant.Share, Limit: grant.Limit, Long: grant.LongLimit,
+				Guaranteed: grant.Share, Limit: grant.Limit, LongLimit: grant.LongLimit,
 			}
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -22,7 +22,7 @@
 	SameRegion
 	OtherRegion
 	// Distances is how many there are.
-	Distances
+	NumDistances
 )
 
 // DefaultHalfBytes is the size from which bytes weigh half where nobody sets it.
@@ -38,23 +38,23 @@
 	if distance <= SameDomain || r.HalfBytes <= 0 {
 		return 0
 	}
-	bytes := r.Work.Bytes + r.Sent + HopBytes
+	bytes := r.Route.ResponseBytes + r.RequestBytes + RoundTripHeaderBytes
 	return bytes / (bytes + r.HalfBytes)
 }
 
 // Least is a bound that no target at a distance costs less than. Nearer targets that cost
 // no more need not be compared with it.
-func (r *Request) Least(distance Distance) float64 { return r.outside(distance) }
+func (r *Request) MinCost(distance Distance) float64 { return r.outside(distance) }
 
 // HeaderBytes is about what the headers of a message between nodes take, HopBytes
 // what those of a request and its answer take.
 const (
-	HeaderBytes = 600
-	HopBytes    = 2 * HeaderBytes
+	HeaderBytes          = 600
+	RoundTripHeaderBytes = 2 * HeaderBytes
 )
 
 // firstRTT is the round trip that is assumed until one was measured.
-var firstRTT = [Distances]time.Duration{0, 500 * time.Microsecond, 2 * time.Millisecond, 40 * time.Millisecond}
+var firstRTT = [NumDistances]time.Duration{0, 500 * time.Microsecond, 2 * time.Millisecond, 40 * time.Millisecond}
 
 // Weights of what was observed.
 const (
@@ -98,7 +98,7 @@
 	// Hold is how long a request holds a slot on average.
 	Hold time.Duration
 	// Failing is the part of its answers that were failures, 0 to 1.
-	Failing float64
+	FailureRate float64
 	// LinkWait is how long a large answer waits for the VM's link, LinkRate the
 	// bytes a second that it then gets; 0 for links that need no pacing.
 	LinkWait time.Duration
@@ -133,16 +133,16 @@
 func (s *Stats) End() { s.open-- }
 
 // Heard takes a target's word on its load.
-func (s *Stats) Heard(now time.Time, load Load) {
+func (s *Stats) UpdateLoad(now time.Time, load Load) {
 	s.load = load
 	s.loadAt = now
 	s.openThen = s.open
 	s.fade(now)
-	s.failing = max(s.failing, load.Failing)
+	s.failing = max(s.failing, load.FailureRate)
 }
 
 // Believed returns the target's last word on its load, and how old it is.
-func (s *Stats) Believed(now time.Time) (Load, time.Duration) {
+func (s *Stats) LastLoad(now time.Time) (Load, time.Duration) {
 	if s.loadAt.IsZero() {
 		return Load{}, 0
 	}
@@ -151,7 +151,7 @@
 
 // Answered takes an answer: how long the target held the request beside the
 // mean of its route, and how long the way there and back took.
-func (s *Stats) Answered(now time.Time, relative float64, rtt time.Duration) {
+func (s *Stats) RecordResponse(now time.Time, relative float64, rtt time.Duration) {
 	if s.factor == 0 {
 		s.factor = 1
 	}
@@ -165,7 +165,7 @@
 }
 
 // Failed takes an attempt that got a failure or no answer.
-func (s *Stats) Failed(now time.Time) { s.outcome(now, 1) }
+func (s *Stats) RecordFailure(now time.Time) { s.outcome(now, 1) }
 
 func (s *Stats) outcome(now time.Time, failed float64) {
 	s.fade(now)
@@ -181,11 +181,11 @@
 
 // Avoid leaves a target alone that takes no work, for a time that doubles while
 // that goes on, up to avoidMost.
-func (s *Stats) Avoid(now time.Time) { s.avoid(now, avoidMost) }
+func (s *Stats) BackOff(now time.Time) { s.avoid(now, avoidMost) }
 
 // AvoidRestart is the same for a target whose node restarts, which takes a second
 // or two: a longer pause would leave the target idle once the node is back.
-func (s *Stats) AvoidRestart(now time.Time) { s.avoid(now, avoidRestart) }
+func (s *Stats) BackOffRestart(now time.Time) { s.avoid(now, avoidRestart) }
 
 func (s *Stats) avoid(now time.Time, most time.Duration) {
 	if now.Before(s.avoidUntil) {
@@ -200,14 +200,14 @@
 
 // Work is the running mean of how long a route's requests hold a slot and how
 // large their answers are, over all targets.
-type Work struct {
-	Hold  time.Duration
-	Bytes float64
+type RouteStats struct {
+	Hold          time.Duration
+	ResponseBytes float64
 }
 
 // Observe takes one answer and returns its hold as a multiple of the mean.
-func (w *Work) Observe(hold time.Duration, factor float64, bytes int) float64 {
-	w.Bytes += workGain * (float64(bytes) - w.Bytes)
+func (w *RouteStats) Observe(hold time.Duration, factor float64, bytes int) float64 {
+	w.ResponseBytes += workGain * (float64(bytes) - w.ResponseBytes)
 	if w.Hold <= 0 {
 		w.Hold = hold
 	}
@@ -217,7 +217,7 @@
 }
 
 // Factor is how much longer the target takes than the mean.
-func (s *Stats) Factor() float64 {
+func (s *Stats) HoldFactor() float64 {
 	if s.factor == 0 {
 		return 1
 	}
@@ -226,7 +226,7 @@
 
 // Hold is how long the target holds a request whose usual work is given.
 func (s *Stats) Hold(now time.Time, usual time.Duration) time.Duration {
-	factor := s.Factor()
+	factor := s.HoldFactor()
 	if s.factor == 0 && now.Before(s.WarmAt) {
 		factor = coldFactor
 	}
@@ -235,11 +235,11 @@
 
 // Request is what a choice needs to know of a request.
 type Request struct {
-	Work Work
+	Route RouteStats
 	// Left is the time in which the answer is still wanted.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Sent is how many bytes the request itself has.
-	Sent float64
+	RequestBytes float64
 	// HalfBytes is the size at which leaving the failure domain weighs half as much
 	// as a late answer; 0 if bytes don't matter.
 	HalfBytes float64
@@ -251,14 +251,14 @@
 	if way == 0 {
 		way = firstRTT[s.Distance]
 	}
-	hold = s.Hold(now, r.Work.Hold)
-	return way + s.transfer(now, r.Work.Bytes), s.wait(now, hold), hold
+	hold = s.Hold(now, r.Route.Hold)
+	return way + s.transfer(now, r.Route.ResponseBytes), s.wait(now, hold), hold
 }
 
 // transfer is how long a large answer takes over the link of the target's VM.
 // Answers to callers on the same VM don't cross it.
 func (s *Stats) transfer(now time.Time, bytes float64) time.Duration {
-	if s.Distance == SameVM || bytes < link.Large || s.load.LinkRate <= 0 {
+	if s.Distance == SameVM || bytes < link.LargeSize || s.load.LinkRate <= 0 {
 		return 0
 	}
 	took := time.Duration(bytes / s.load.LinkRate * float64(time.Second))
@@ -266,7 +266,7 @@
 }
 
 // Expected is how long an answer takes that takes so many times the usual work.
-func (s *Stats) Expected(now time.Time, r *Request, work float64) time.Duration {
+func (s *Stats) ExpectedLatency(now time.Time, r *Request, work float64) time.Duration {
 	way, wait, hold := s.expected(now, r)
 	return way + wait + time.Duration(work*float64(hold))
 }
@@ -290,7 +290,7 @@
 }
 
 // HasRoom reports whether the target is believed to have a free slot now.
-func (s *Stats) HasRoom(now time.Time) bool { return s.wait(now, time.Second) == 0 }
+func (s *Stats) HasFreeSlot(now time.Time) bool { return s.wait(now, time.Second) == 0 }
 
 // Weights of the cost beside the chance of a late answer, as parts of the worth
 // of an answer in time.
@@ -307,10 +307,10 @@
 // leave the failure domain, and how full the target is.
 func (s *Stats) Cost(now time.Time, r *Request) float64 {
 	way, wait, hold := s.expected(now, r)
-	left := r.Left - way - wait
+	left := r.TimeLeft - way - wait
 	cost := lateChance(left, hold)
 	if left < hold {
-		cost += lateWeight * float64(hold-left) / float64(max(r.Left, hold, time.Millisecond))
+		cost += lateWeight * float64(hold-left) / float64(max(r.TimeLeft, hold, time.Millisecond))
 	}
 	// Squared, since a small part of failures is mostly chance and costs less than as
 	// many answers: another target may be asked, and the caller asks again. Weighed
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,27 +12,27 @@
 
 func target(distance Distance, load Load) *Stats {
 	s := &Stats{Distance: distance, Slots: load.Slots}
-	s.Heard(start, load)
+	s.UpdateLoad(start, load)
 	return s
 }
 
 // A lookup of 160 ms and 5 KB that is wanted in 600 ms, and an archive of 130 ms and
 // 90 KB that is wanted in 500 ms.
 var (
-	lookup  = &Request{Work: Work{Hold: 160 * time.Millisecond, Bytes: 5e3}, Left: 600 * time.Millisecond, HalfBytes: DefaultHalfBytes}
-	archive = &Request{Work: Work{Hold: 130 * time.Millisecond, Bytes: 90e3}, Left: 500 * time.Millisecond, HalfBytes: DefaultHalfBytes}
+	lookup  = &Request{Route: RouteStats{Hold: 160 * time.Millisecond, ResponseBytes: 5e3}, TimeLeft: 600 * time.Millisecond, HalfBytes: DefaultHalfBytes}
+	archive = &Request{Route: RouteStats{Hold: 130 * time.Millisecond, ResponseBytes: 90e3}, TimeLeft: 500 * time.Millisecond, HalfBytes: DefaultHalfBytes}
 )
 
 func TestCheaperTarget(t *testing.T) {
 	idle := Load{Running: 2, Slots: 12, Hold: 160 * time.Millisecond}
 	full := Load{Running: 12, Waiting: 36, Slots: 12, Hold: 160 * time.Millisecond}
 	busy := Load{Running: 12, Waiting: 6, Slots: 12, Hold: 130 * time.Millisecond}
-	ill := Load{Running: 2, Slots: 12, Hold: 160 * time.Millisecond, Failing: 0.5}
-	shaky := Load{Running: 2, Slots: 12, Hold: 160 * time.Millisecond, Failing: 0.25}
+	ill := Load{Running: 2, Slots: 12, Hold: 160 * time.Millisecond, FailureRate: 0.5}
+	shaky := Load{Running: 2, Slots: 12, Hold: 160 * time.Millisecond, FailureRate: 0.25}
 	choked := Load{Running: 2, Slots: 12, Hold: 130 * time.Millisecond, LinkWait: 2 * time.Second, LinkRate: 1.6e6}
 	slow := target(SameDomain, idle)
 	for range 50 {
-		slow.Answered(start, 5, time.Millisecond)
+		slow.RecordResponse(start, 5, time.Millisecond)
 	}
 	cold := target(SameDomain, idle)
 	cold.WarmAt = start.Add(time.Minute)
@@ -66,7 +66,7 @@
 // A target says that it is full and is then not heard of. Its word fades, so
 // that it is tried again.
 func TestOldWordsFade(t *testing.T) {
-	s := target(SameDomain, Load{Running: 12, Waiting: 48, Slots: 12, Hold: time.Second, Failing: 1})
+	s := target(SameDomain, Load{Running: 12, Waiting: 48, Slots: 12, Hold: time.Second, FailureRate: 1})
 	now := s.Cost(start, lookup)
 	later := s.Cost(start.Add(10*time.Second), lookup)
 	assert.Assert(t, later < now/2, "%.3f then %.3f", now, later)
@@ -79,7 +79,7 @@
 	now := start
 	last := time.Duration(0)
 	for range 3 {
-		s.Avoid(now)
+		s.BackOff(now)
 		until := now
 		for !s.Available(until) {
 			until = until.Add(10 * time.Millisecond)
@@ -88,8 +88,8 @@
 		last = until.Sub(now)
 		now = until
 	}
-	s.Answered(now, 1, time.Millisecond)
-	s.Avoid(now)
+	s.RecordResponse(now, 1, time.Millisecond)
+	s.BackOff(now)
 	assert.Assert(t, s.Available(now.Add(avoidFirst)))
 }
 
@@ -110,13 +110,13 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
 		r := Request{
-			Work: Work{Hold: time.Duration(random.IntN(500)) * time.Millisecond, Bytes: float64(random.IntN(200e3))},
-			Left: time.Duration(random.IntN(3000)-500) * time.Millisecond, Sent: float64(random.IntN(10e3)),
+			Route:    RouteStats{Hold: time.Duration(random.IntN(500)) * time.Millisecond, ResponseBytes: float64(random.IntN(200e3))},
+			TimeLeft: time.Duration(random.IntN(3000)-500) * time.Millisecond, RequestBytes: float64(random.IntN(10e3)),
 			HalfBytes: []float64{0, 1e3, DefaultHalfBytes}[random.IntN(3)],
 		}
-		stats := Stats{Distance: Distance(random.IntN(int(Distances))), Slots: random.IntN(10), open: random.IntN(30), failing: random.Float64()}
+		stats := Stats{Distance: Distance(random.IntN(int(NumDistances))), Slots: random.IntN(10), open: random.IntN(30), failing: random.Float64()}
 		cost := stats.Cost(start, &r)
-		assert.Assert(t, cost >= r.Least(stats.Distance), "%v costs %v", stats, cost)
-		assert.Assert(t, stats.Distance == SameVM || r.Least(stats.Distance) >= r.Least(stats.Distance-1))
+		assert.Assert(t, cost >= r.MinCost(stats.Distance), "%v costs %v", stats, cost)
+		assert.Assert(t, stats.Distance == SameVM || r.MinCost(stats.Distance) >= r.MinCost(stats.Distance-1))
 	}
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -85,7 +85,7 @@
 		return o.answer, err
 	}
 	if o.answer.rest == nil && o.answer.response.Status < failedStatus {
-		p.crashes.Completed(f.fingerprint)
+		p.crashes.RecordCompletion(f.fingerprint)
 	}
 	return o.answer, nil
 }
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -13,8 +13,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	request := &placement.Request{
-		Work: *p.workOf(f.route), Left: f.wanted(now),
-		Sent: float64(max(f.length, 0)), HalfBytes: p.config.HalfBytes,
+		Route: *p.workOf(f.route), TimeLeft: f.wanted(now),
+		RequestBytes: float64(max(f.length, 0)), HalfBytes: p.config.HalfBytes,
 	}
 	if best := f.cheapest(now, request, false); best != nil || f.offers > 0 {
 		return best
@@ -31,7 +31,7 @@
 }
 
 // candidates are the targets of one service by distance.
-type candidates [placement.Distances][]candidate
+type candidates [placement.NumDistances][]candidate
 
 // cheapest must be called with the proxy's mutex held. Targets further away are looked at
 // only if they can be cheaper than the best of the nearer ones: a service of some hundred
@@ -44,7 +44,7 @@
 		return nil
 	}
 	for distance, group := range groups {
-		if best != nil && least <= request.Least(placement.Distance(distance)) {
+		if best != nil && least <= request.MinCost(placement.Distance(distance)) {
 			break
 		}
 		for _, c := range group {
@@ -86,12 +86,12 @@
 const firstDownload = 100e3
 
 // workOf must be called with the mutex held.
-func (p *Proxy) workOf(route *mesh.Route) *placement.Work {
+func (p *Proxy) workOf(route *mesh.Route) *placement.RouteStats {
 	work := p.work[route.Name]
 	if work == nil {
-		work = &placement.Work{}
+		work = &placement.RouteStats{}
 		if route.Kind == mesh.Download {
-			work.Bytes = firstDownload
+			work.ResponseBytes = firstDownload
 		}
 		p.work[route.Name] = work
 	}
--- a/internal/proxy/choose_test.go
+++ b/internal/proxy/choose_test.go
@@ -65,14 +65,14 @@
 	}{
 		{"near targets are free", func(*flight, candidate) {}, false},
 		{"near targets are surely late", func(_ *flight, c candidate) {
-			c.stats.Heard(now, placement.Load{Running: 9, Waiting: 30, Slots: 9, Hold: time.Second})
+			c.stats.UpdateLoad(now, placement.Load{Running: 9, Waiting: 30, Slots: 9, Hold: time.Second})
 		}, true},
 		{"near targets fail", func(_ *flight, c candidate) {
 			for range 30 {
-				c.stats.Failed(now)
+				c.stats.RecordFailure(now)
 			}
 		}, true},
-		{"near targets are left alone", func(_ *flight, c candidate) { c.stats.Avoid(now) }, true},
+		{"near targets are left alone", func(_ *flight, c candidate) { c.stats.BackOff(now) }, true},
 		{"near targets were tried", func(f *flight, c candidate) { f.tried[c.member.ID] = true }, true},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
--- a/internal/proxy/comeback_test.go
+++ b/internal/proxy/comeback_test.go
@@ -84,7 +84,7 @@
 	route := &mesh.Route{Name: "r", Kind: mesh.Idempotent, TargetLatency: crowdLatency}
 	member := &mesh.Member{Target: mesh.Target{ID: "t", Slots: crowdSlots}}
 	p.stats["t"] = &placement.Stats{Slots: crowdSlots}
-	p.work["r"] = &placement.Work{Hold: crowdUsual}
+	p.work["r"] = &placement.RouteStats{Hold: crowdUsual}
 	f := &flight{proxy: p, route: route, began: now, first: now, deadline: caller.ends}
 	if recognised {
 		f.first = caller.first
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -54,7 +54,7 @@
 // endOwnRun takes the end of a run; the error is nil where the whole answer was read.
 func (p *Proxy) endOwnRun(ctx context.Context, t *terms, status int, err error) {
 	if err == nil && status < failedStatus {
-		p.crashes.Completed(t.fingerprint)
+		p.crashes.RecordCompletion(t.fingerprint)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 	p.ports.Meter.Count(port.MetricTargetCrashes, "", 1)
 	p.tellCrash(own, &crash)
-	p.crashes.Crashed(crash)
+	p.crashes.RecordCrash(crash)
 }
 
 // endLook takes what a look at the target showed, and returns its crash if it has ended.
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -24,8 +24,8 @@
 const poisonPath = "/idempotent/poison"
 
 // share lets all nodes know the same of crashes, as feeds do.
-func (f *fleet) share() *quarantine.Shared {
-	shared := quarantine.NewShared(wallClock{})
+func (f *fleet) share() *quarantine.SharedLedger {
+	shared := quarantine.NewSharedLedger(wallClock{})
 	for _, p := range f.proxies {
 		p.crashes = shared
 	}
@@ -68,7 +68,7 @@
 	for i, target := range f.targets {
 		for _, other := range f.targets {
 			if other != target {
-				f.proxies[i].stats[other.id].Failed(time.Now())
+				f.proxies[i].stats[other.id].RecordFailure(time.Now())
 			}
 		}
 		assert.Equal(t, f.ask(i, "GET", fmt.Sprint("/idempotent/warm", i), "").Code, http.StatusOK)
@@ -112,15 +112,15 @@
 		})
 	}
 	fingerprint := fingerprintOfPath(poisonPath)
-	for i := 0; shared.Quarantined(fingerprint) == 0; i++ {
+	for i := 0; shared.BlockRemaining(fingerprint) == 0; i++ {
 		assert.Assert(t, i < 20, "%d targets crashed", crashed.Load())
-		known := shared.Count(fingerprint)
+		known := shared.CrashCount(fingerprint)
 		before := crashed.Load()
 		w := f.ask(i%len(f.proxies), "GET", poisonPath, "")
 		assert.Assert(t, w.Code != http.StatusOK)
 		if crashed.Load() > before {
 			waitFor(t, "the crash is told", func() bool {
-				return shared.Count(fingerprint) > known || shared.Quarantined(fingerprint) > 0
+				return shared.CrashCount(fingerprint) > known || shared.BlockRemaining(fingerprint) > 0
 			})
 		}
 	}
@@ -194,19 +194,19 @@
 	}
 }
 
-func waitForCount(t *testing.T, crashes *quarantine.Shared, request quarantine.Fingerprint, want int) {
+func waitForCount(t *testing.T, crashes *quarantine.SharedLedger, request quarantine.Fingerprint, want int) {
 	t.Helper()
-	waitFor(t, fmt.Sprint("count ", want), func() bool { return crashes.Count(request) == want })
+	waitFor(t, fmt.Sprint("count ", want), func() bool { return crashes.CrashCount(request) == want })
 }
 
 // suspect lets requests have run beside so many crashes, each of them beside others.
-func suspect(crashes *quarantine.Shared, times int, paths ...string) {
+func suspect(crashes *quarantine.SharedLedger, times int, paths ...string) {
 	for i := range times {
 		c := quarantine.Crash{ID: uint64(i + 1), Answered: true, Suspects: []quarantine.Fingerprint{quarantine.Fingerprint(i + 1)}}
 		for _, path := range paths {
 			c.Suspects = append(c.Suspects, fingerprintOfPath(path))
 		}
-		crashes.Crashed(c)
+		crashes.RecordCrash(c)
 	}
 }
 
@@ -238,7 +238,7 @@
 	assert.Equal(t, others.Load(), int32(len(suspects)))
 	for _, path := range suspects {
 		// Each has run to its end and is suspected no more.
-		assert.Equal(t, crashes.Count(fingerprintOfPath(path)), 0)
+		assert.Equal(t, crashes.CrashCount(fingerprintOfPath(path)), 0)
 	}
 }
 
@@ -271,17 +271,17 @@
 	// One that never answered tells nothing of what it ran.
 	f.ask(0, "GET", poisonPath, "")
 	waitForCount(t, crashes, fingerprint, 0)
-	assert.Assert(t, crashes.Quarantined(fingerprint) > 0)
+	assert.Assert(t, crashes.BlockRemaining(fingerprint) > 0)
 }
 
 // Guards against a request that stays suspected at a node which hears of crashes and
 // of no run elsewhere: the answers that it passes on itself clear it.
 func TestAnswerClearsItsRequest(t *testing.T) {
 	f := newFleet(t, 2)
-	crashes := quarantine.NewShared(wallClock{})
+	crashes := quarantine.NewSharedLedger(wallClock{})
 	f.proxies[0].crashes = crashes
-	f.proxies[0].stats["t0"].Avoid(time.Now())
+	f.proxies[0].stats["t0"].BackOff(time.Now())
 	suspect(crashes, 1, "/idempotent/x")
 	assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Body.String(), "t1 ran /idempotent/x ")
-	assert.Equal(t, crashes.Count(fingerprintOfPath("/idempotent/x")), 0)
+	assert.Equal(t, crashes.CrashCount(fingerprintOfPath("/idempotent/x")), 0)
 }
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -84,7 +84,7 @@
 		f.callerEnds = now.Add(wait)
 	}
 	f.fingerprint = fingerprintOf(f)
-	f.suspicion = p.crashes.Count(f.fingerprint)
+	f.suspicion = p.crashes.CrashCount(f.fingerprint)
 	f.first = p.firstAttempt(f)
 	callhttp.CopyHeader(f.header, r.Header)
 	f.header[p.config.Headers.CallerService] = []string{*p.service.Load()}
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -221,7 +221,7 @@
 		stats = &placement.Stats{}
 	}
 	stats.Begin()
-	load, age := stats.Believed(now)
+	load, age := stats.LastLoad(now)
 	return stats, belief{load: load, age: age}
 }
 
@@ -236,17 +236,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a.response.Status >= http.StatusInternalServerError {
-		stats.Failed(now)
+		stats.RecordFailure(now)
 		return
 	}
-	relative := p.workOf(route).Observe(word.held, stats.Factor(), len(a.whole))
-	stats.Answered(now, relative, way)
+	relative := p.workOf(route).Observe(word.held, stats.HoldFactor(), len(a.whole))
+	stats.RecordResponse(now, relative, way)
 	p.hear(now, stats, word)
 }
 
 func (p *Proxy) hear(now time.Time, stats *placement.Stats, word loadWord) {
 	if word.Slots > 0 {
-		stats.Heard(now, word.Load)
+		stats.UpdateLoad(now, word.Load)
 	}
 }
 
@@ -258,16 +258,16 @@
 	p.hear(now, stats, word)
 	var refusal *port.Refusal
 	if !errors.As(err, &refusal) {
-		stats.Failed(now)
+		stats.RecordFailure(now)
 		return
 	}
 	switch refusal.Reason {
 	case port.ReasonStopping, port.ReasonNotReady, port.ReasonUnreachable:
-		stats.AvoidRestart(now)
+		stats.BackOffRestart(now)
 	case port.ReasonDraining, port.ReasonWrongOwner, port.ReasonMisdirected:
-		stats.Avoid(now)
+		stats.BackOff(now)
 	case port.ReasonShed, port.ReasonShedWithRoom:
-		stats.Failed(now)
+		stats.RecordFailure(now)
 	}
 }
 
--- a/internal/proxy/hold.go
+++ b/internal/proxy/hold.go
@@ -49,7 +49,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	word.Hold = p.held.mean
-	word.Failing = p.held.failing
+	word.FailureRate = p.held.failing
 	word.LinkRate = p.link.Rate()
 	word.LinkWait = p.link.Wait(p.ports.Clock.Now())
 	return word
--- a/internal/proxy/operations_test.go
+++ b/internal/proxy/operations_test.go
@@ -46,7 +46,7 @@
 // docs/OPERATIONS.md leads from the id to the target that shed and its load.
 func TestPathOfARefusalThoughTargetsWereFree(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t0"].Avoid(time.Now())
+	f.proxies[0].stats["t0"].BackOff(time.Now())
 	f.proxies[0].config.RepeatRatio, f.proxies[0].config.RepeatFew = 0, 0
 	f.targets[1].serve = sheds("1,0,4")
 	f.ask(0, "GET", "/idempotent/x", "")
@@ -66,7 +66,7 @@
 // target that broke off, and to the node that saw it.
 func TestPathOfAFilingOfUnknownOutcome(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t0"].Avoid(time.Now())
+	f.proxies[0].stats["t0"].BackOff(time.Now())
 	f.targets[1].serve = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	f.ask(0, "POST", "/once/x", "filing")
 	lines := f.traced(t)
@@ -79,7 +79,7 @@
 // caller got the whole of another target's answer.
 func TestPathOfADownloadThatBroke(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t1"].Failed(time.Now())
+	f.proxies[0].stats["t1"].RecordFailure(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headers.Proof, "proof")
 		w.Header().Set("Content-Length", "100")
@@ -112,7 +112,7 @@
 // of the first attempt, with the target and the status that it answered.
 func TestTraceTellsOfAnAttemptThatTheTargetFailed(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t0"].Failed(time.Now())
+	f.proxies[0].stats["t0"].RecordFailure(time.Now())
 	f.targets[1].serve = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headers.Proof, "proof")
 		w.WriteHeader(http.StatusInternalServerError)
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -70,7 +70,7 @@
 	if refusal != nil {
 		return nil, p.loadWord(received, 0), refusal
 	}
-	refusal = p.gate.Enter(ctx, admission.Request{
+	refusal = p.gate.Acquire(ctx, admission.Request{
 		ID: t.attempt, Customer: meshCustomer, Rank: t.rank, Depth: t.urgency,
 		Deadline: received.Add(min(t.wait+leastBudget, t.budget)),
 	})
@@ -81,7 +81,7 @@
 	began := p.ports.Clock.Now()
 	if refusal := p.beginRun(began, t, deadline); refusal != nil {
 		release()
-		p.gate.Leave(t.attempt)
+		p.gate.Release(t.attempt)
 		return nil, p.loadWord(received, 0), refusal
 	}
 	p.beginOwnRun(began, t)
@@ -268,7 +268,7 @@
 	} else {
 		defer a.rest.Close()
 	}
-	if len(a.whole) >= link.Large && p.link.Rate() > 0 {
+	if len(a.whole) >= link.LargeSize && p.link.Rate() > 0 {
 		return p.passPaced(ctx, w, a, due)
 	}
 	p.countSmall(len(a.whole) + placement.HeaderBytes)
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -26,7 +26,7 @@
 func (p *Proxy) correctLink(t *terms, size int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link.Correct(float64(t.size), float64(size))
+	p.link.CorrectSize(float64(t.size), float64(size))
 }
 
 // LinkWait is how long a large answer waits for the VM's link.
@@ -44,7 +44,7 @@
 func (p *Proxy) countSmall(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link.Small(p.ports.Clock.Now(), bytes)
+	p.link.CountUnpaced(p.ports.Clock.Now(), bytes)
 }
 
 // pacedChunk is what is sent of a large answer at a time.
@@ -53,7 +53,7 @@
 // passPaced sends a large answer in its turn and at the pace of the link's
 // share, so that small answers find the link free.
 func (p *Proxy) passPaced(ctx context.Context, w http.ResponseWriter, a *answer, due time.Time) error {
-	turn := &link.Turn{Due: due}
+	turn := &link.Transfer{Deadline: due}
 	if err := p.awaitTurn(ctx, turn); err != nil {
 		return err
 	}
@@ -64,9 +64,9 @@
 
 // awaitTurn waits until the answer may be sent. Without an error, endTurn must be
 // called once.
-func (p *Proxy) awaitTurn(ctx context.Context, turn *link.Turn) error {
+func (p *Proxy) awaitTurn(ctx context.Context, turn *link.Transfer) error {
 	p.mu.Lock()
-	if p.turns.Ask(turn) {
+	if p.turns.Start(turn) {
 		p.mu.Unlock()
 		return nil
 	}
@@ -92,7 +92,7 @@
 func (p *Proxy) endTurn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := p.turns.End()
+	next := p.turns.Finish()
 	if next == nil {
 		return
 	}
@@ -112,7 +112,7 @@
 	written := 0
 	for chunk := range slices.Chunk(b, pacedChunk) {
 		w.proxy.mu.Lock()
-		pause := w.proxy.link.Pace(w.proxy.ports.Clock.Now(), len(chunk))
+		pause := w.proxy.link.Reserve(w.proxy.ports.Clock.Now(), len(chunk))
 		w.proxy.mu.Unlock()
 		if pause > 0 {
 			time.Sleep(pause)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -90,7 +90,7 @@
 	ViewAge func() time.Duration
 	// Crashes is what all nodes know of requests that crash targets; nil for a node that
 	// knows only what it sees itself.
-	Crashes *quarantine.Shared
+	Crashes *quarantine.SharedLedger
 }
 
 // Picture is what requests are routed by: a moment's immutable view of the mesh.
@@ -113,7 +113,7 @@
 	ports     Ports
 	decisions *decisions
 	gate      *gate.Gate
-	crashes   *quarantine.Shared
+	crashes   *quarantine.SharedLedger
 	// alone is held by the suspect of crashes that runs at the VM's own target.
 	alone   chan struct{}
 	service atomic.Pointer[string]
@@ -134,17 +134,17 @@
 	stats    map[string]*placement.Stats
 	// candidates holds the usable targets by service.
 	candidates map[string]*candidates
-	work       map[string]*placement.Work
+	work       map[string]*placement.RouteStats
 	repeats    *retry.Ledger
 	runs       ownRuns
 	callers    *clientretry.Memory
 	held       holds
 	reach      reachability
-	link       *link.Share
+	link       *link.Pacer
 	// turns orders the large answers that are sent to other nodes; turnComes
 	// holds what is closed when the turn of a waiting one comes.
-	turns     link.Turns
-	turnComes map[*link.Turn]chan struct{}
+	turns     link.TransferQueue
+	turnComes map[*link.Transfer]chan struct{}
 }
 
 // New returns a proxy that has no picture yet and refuses everything.
@@ -153,18 +153,18 @@
 		config: config, ports: ports, decisions: newDecisions(ports), gate: gate.New(ports.Clock, config.Seed),
 		random:    rand.New(rand.NewPCG(config.Seed, 1)),
 		stats:     map[string]*placement.Stats{},
-		work:      map[string]*placement.Work{},
+		work:      map[string]*placement.RouteStats{},
 		repeats:   retry.NewLedger(config.RepeatWindow),
 		runs:      ownRuns{running: map[string]ownRun{}},
 		crashes:   ports.Crashes,
 		alone:     make(chan struct{}, 1),
 		callers:   clientretry.NewMemory(),
 		reach:     newReachability(),
-		link:      link.NewShare(config.LinkRate),
-		turnComes: map[*link.Turn]chan struct{}{},
+		link:      link.NewPacer(config.LinkRate),
+		turnComes: map[*link.Transfer]chan struct{}{},
 	}
 	if p.crashes == nil {
-		p.crashes = quarantine.NewShared(ports.Clock)
+		p.crashes = quarantine.NewSharedLedger(ports.Clock)
 	}
 	p.SetService("")
 	return p
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -21,7 +21,7 @@
 
 func TestRequestReachesTheTargetUnchanged(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t0"].Avoid(time.Now())
+	f.proxies[0].stats["t0"].BackOff(time.Now())
 	var got http.Header
 	f.targets[1].serve = func(w http.ResponseWriter, r *http.Request) {
 		got = r.Header.Clone()
@@ -83,7 +83,7 @@
 func TestShedFilingRunsElsewhereOnce(t *testing.T) {
 	f := newFleet(t, 2)
 	f.targets[0].serve = sheds("1,0,4")
-	f.proxies[0].stats["t1"].Failed(time.Now())
+	f.proxies[0].stats["t1"].RecordFailure(time.Now())
 	w := f.ask(0, "POST", "/once/x", "filing")
 	assert.Equal(t, w.Body.String(), "t1 ran /once/x filing")
 	assert.Equal(t, f.arrivals(), 2)
@@ -105,7 +105,7 @@
 // whole answer of another target, never the part.
 func TestBrokenAnswerIsHadAgain(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t1"].Failed(time.Now())
+	f.proxies[0].stats["t1"].RecordFailure(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headers.Proof, "proof")
 		w.Header().Set("Content-Length", "100")
@@ -156,8 +156,8 @@
 		t.Run(test.desc, func(t *testing.T) {
 			f := newFleet(t, test.nodes)
 			if test.nodes > 1 {
-				f.proxies[0].stats["t1"].Failed(time.Now())
-				f.proxies[0].stats["t1"].Heard(time.Now(), placement.Load{Running: testSlots * min(test.waiting, 1), Waiting: test.waiting, Slots: testSlots})
+				f.proxies[0].stats["t1"].RecordFailure(time.Now())
+				f.proxies[0].stats["t1"].UpdateLoad(time.Now(), placement.Load{Running: testSlots * min(test.waiting, 1), Waiting: test.waiting, Slots: testSlots})
 			}
 			if test.refuses {
 				f.proxies[1].gate.Configure(ownTerms(0))
@@ -178,7 +178,7 @@
 // before. The answer is waited for, though another target could be asked.
 func TestStoppingNodeGivesNothingUp(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t1"].Failed(time.Now())
+	f.proxies[0].stats["t1"].RecordFailure(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, r *http.Request) {
 		f.proxies[0].Stop(time.Now().Add(time.Minute))
 		time.Sleep(600 * time.Millisecond)
@@ -254,7 +254,7 @@
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			f := newFleet(t, 2)
-			f.proxies[0].stats["t0"].Failed(time.Now())
+			f.proxies[0].stats["t0"].RecordFailure(time.Now())
 			picture := *f.proxies[1].picture.Load()
 			own := *picture.Own
 			own.State, own.DrainingSince = mesh.Draining, time.Now().Add(-test.since)
@@ -271,7 +271,7 @@
 // its own node's word; the request goes elsewhere.
 func TestOwnerEndsTheGraceOfAGoneTarget(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t0"].Failed(time.Now())
+	f.proxies[0].stats["t0"].RecordFailure(time.Now())
 	usableUntil := func(until time.Time) {
 		picture := *f.proxies[1].picture.Load()
 		own := *picture.Own
@@ -292,7 +292,7 @@
 func TestStoppingOwnerCostsNoArrival(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[1].Stop(time.Now().Add(time.Minute))
-	f.proxies[0].stats["t0"].Failed(time.Now())
+	f.proxies[0].stats["t0"].RecordFailure(time.Now())
 	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t1 ran /once/x ")
 	f.proxies[1].StopOwn()
 	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
@@ -304,7 +304,7 @@
 func TestStoppingNodeBeginsNothingThatItMustCut(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[1].Stop(time.Now().Add(time.Second))
-	f.proxies[0].stats["t0"].Failed(time.Now())
+	f.proxies[0].stats["t0"].RecordFailure(time.Now())
 	assert.Equal(t, f.ask(0, "POST", "/once/x", "").Body.String(), "t0 ran /once/x ")
 	assert.Equal(t, f.arrivals(), 1)
 }
@@ -325,7 +325,7 @@
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			f := newFleet(t, 2)
-			f.proxies[0].stats["t0"].Failed(time.Now())
+			f.proxies[0].stats["t0"].RecordFailure(time.Now())
 			f.proxies[0].Stop(time.Now().Add(test.endsIn))
 			if test.stopped {
 				f.proxies[0].StopOwn()
@@ -347,7 +347,7 @@
 	now := time.Now()
 	for down := now; down.Before(now.Add(2 * time.Second)); down = down.Add(10 * time.Millisecond) {
 		if stats.Available(down) {
-			stats.AvoidRestart(down)
+			stats.BackOffRestart(down)
 		}
 	}
 	assert.Assert(t, stats.Available(now.Add(2500*time.Millisecond)))
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -16,7 +16,7 @@
 
 // quarantined returns the refusal of a request that is kept from targets, or nil.
 func (p *Proxy) quarantined(request quarantine.Fingerprint) *port.Refusal {
-	left := p.crashes.Quarantined(request)
+	left := p.crashes.BlockRemaining(request)
 	if left == 0 {
 		return nil
 	}
@@ -38,7 +38,7 @@
 // isolate waits until no other suspect runs at the VM's own target, if the request is one.
 // Release must be called in any case.
 func (p *Proxy) isolate(ctx context.Context, t *terms) (release func(), refusal *port.Refusal) {
-	if p.crashes.Count(t.fingerprint) < isolateFrom {
+	if p.crashes.CrashCount(t.fingerprint) < isolateFrom {
 		return func() {}, nil
 	}
 	timer := time.NewTimer(min(t.wait+leastBudget, t.budget))
--- a/internal/proxy/rank.go
+++ b/internal/proxy/rank.go
@@ -57,9 +57,9 @@
 		usual = f.route.TargetLatency / unknownWorkPart
 	}
 	if stats := p.stats[member.ID]; stats != nil {
-		return max(usual, stats.Hold(now, usual)), int(work.Bytes)
+		return max(usual, stats.Hold(now, usual)), int(work.ResponseBytes)
 	}
-	return usual, int(work.Bytes)
+	return usual, int(work.ResponseBytes)
 }
 
 // terms are what the owner node of a target is told. A first offer waits as long
--- a/internal/proxy/rank_test.go
+++ b/internal/proxy/rank_test.go
@@ -24,11 +24,11 @@
 	stats := &placement.Stats{Slots: 12}
 	if slowness != 1 {
 		for range 100 {
-			stats.Answered(now, slowness, time.Millisecond)
+			stats.RecordResponse(now, slowness, time.Millisecond)
 		}
 	}
 	p.stats["t"] = stats
-	p.work["r"] = &placement.Work{Hold: usual}
+	p.work["r"] = &placement.RouteStats{Hold: usual}
 	return &flight{proxy: p, route: route, began: now, first: now, deadline: now.Add(2 * time.Second)}, member
 }
 
--- a/internal/proxy/reach_test.go
+++ b/internal/proxy/reach_test.go
@@ -34,7 +34,7 @@
 	f := newFleet(t, 2)
 	f.away(t, 1)
 	p := f.proxies[0]
-	p.stats["t0"].Failed(time.Now())
+	p.stats["t0"].RecordFailure(time.Now())
 	const asked = 10
 	for range asked {
 		assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Body.String(), "t0 ran /idempotent/x ")
@@ -52,7 +52,7 @@
 	f := newFleet(t, 2)
 	f.away(t, 1)
 	p := f.proxies[0]
-	p.stats["t0"].Failed(time.Now())
+	p.stats["t0"].RecordFailure(time.Now())
 	p.reach.waryUntil = time.Now().Add(time.Minute)
 	assert.Equal(t, f.ask(0, "POST", "/once/x", "filing").Body.String(), "t0 ran /once/x filing")
 }
@@ -61,7 +61,7 @@
 func TestVMThatIsBackIsUsedAgain(t *testing.T) {
 	f := newFleet(t, 2)
 	p := f.proxies[0]
-	p.stats["t0"].Failed(time.Now())
+	p.stats["t0"].RecordFailure(time.Now())
 	p.noteAway(p.peerAddress(p.picture.Load().Services["s"][1]))
 	assert.Equal(t, f.ask(0, "GET", "/idempotent/x", "").Body.String(), "t0 ran /idempotent/x ")
 	deadline := time.Now().Add(10 * time.Second)
--- a/internal/proxy/repeat.go
+++ b/internal/proxy/repeat.go
@@ -67,5 +67,5 @@
 	p.mu.Lock()
 	p.repeats.End(p.ports.Clock.Now(), attempt)
 	p.mu.Unlock()
-	p.gate.Leave(attempt)
+	p.gate.Release(attempt)
 }
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -55,7 +55,7 @@
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usual := stats.Expected(now, &placement.Request{Work: *p.workOf(f.route)}, slowFactor)
+	usual := stats.ExpectedLatency(now, &placement.Request{Route: *p.workOf(f.route)}, slowFactor)
 	return max(usual, f.route.TargetLatency)
 }
 
@@ -79,7 +79,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stats := p.stats[member.ID]
-	return stats != nil && stats.HasRoom(now)
+	return stats != nil && stats.HasFreeSlot(now)
 }
 
 var errSlow = errors.New("another target answered first")
--- a/internal/proxy/terms.go
+++ b/internal/proxy/terms.go
@@ -102,7 +102,7 @@
 func (l *loadWord) write(header http.Header) {
 	header[headerLoad] = []string{strings.Join([]string{
 		strconv.Itoa(l.Running), strconv.Itoa(l.Waiting), strconv.Itoa(l.Slots),
-		strconv.FormatInt(l.Hold.Microseconds(), 10), strconv.FormatFloat(l.Failing, 'f', 2, 64),
+		strconv.FormatInt(l.Hold.Microseconds(), 10), strconv.FormatFloat(l.FailureRate, 'f', 2, 64),
 		strconv.FormatInt(l.held.Microseconds(), 10), strconv.FormatInt(l.spent.Microseconds(), 10),
 		strconv.FormatInt(l.LinkWait.Microseconds(), 10), strconv.FormatInt(int64(l.LinkRate), 10),
 	}, termSeparator)}
@@ -127,7 +127,7 @@
 	}
 	micros := func(i int) time.Duration { return time.Duration(numbers[i]) * time.Microsecond }
 	l.Running, l.Waiting, l.Slots = int(numbers[0]), int(numbers[1]), int(numbers[2])
-	l.Hold, l.Failing = micros(3), numbers[4]
+	l.Hold, l.FailureRate = micros(3), numbers[4]
 	l.held, l.spent = micros(5), micros(6)
 	l.LinkWait, l.LinkRate = micros(7), numbers[8]
 	return l, true
--- a/internal/quarantine/cost_test.go
+++ b/internal/quarantine/cost_test.go
@@ -18,7 +18,7 @@
 		for range slots {
 			c.Suspects = append(c.Suspects, Fingerprint(random.Uint64()))
 		}
-		l.Crashed(at(float64(id)), c)
+		l.RecordCrash(at(float64(id)), c)
 	}
 	return l
 }
@@ -59,6 +59,6 @@
 	now := at(100)
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = l.Quarantined(now, 1) > 0 || l.Count(1) > 0 || l.Completed(now, 1)
+		_ = l.BlockRemaining(now, 1) > 0 || l.CrashCount(1) > 0 || l.RecordCompletion(now, 1)
 	}
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -93,10 +93,10 @@
 }
 
 // Count returns in how many crashes a request was a suspect that nothing else explains.
-func (l *Ledger) Count(request Fingerprint) int { return l.counts[request] }
+func (l *Ledger) CrashCount(request Fingerprint) int { return l.counts[request] }
 
 // Quarantined returns for how long yet a request is kept from targets; zero if it isn't.
-func (l *Ledger) Quarantined(now time.Time, request Fingerprint) time.Duration {
+func (l *Ledger) BlockRemaining(now time.Time, request Fingerprint) time.Duration {
 	s := l.blocks[request]
 	if s == nil {
 		return 0
@@ -105,7 +105,7 @@
 }
 
 // Blocked returns how many requests are kept from targets.
-func (l *Ledger) Blocked(now time.Time) int {
+func (l *Ledger) BlockedCount(now time.Time) int {
 	count := 0
 	for _, s := range l.blocks {
 		if now.Before(s.ends()) {
@@ -127,11 +127,11 @@
 }
 
 // Crashed takes a crash that this node saw.
-func (l *Ledger) Crashed(now time.Time, c Crash) { l.Merge(now, 0, &Notice{Crashes: []Crash{c}}) }
+func (l *Ledger) RecordCrash(now time.Time, c Crash) { l.Merge(now, 0, &Notice{Crashes: []Crash{c}}) }
 
 // Completed takes a run to its end that this node saw, and reports whether it clears the
 // request of anything.
-func (l *Ledger) Completed(now time.Time, request Fingerprint) bool {
+func (l *Ledger) RecordCompletion(now time.Time, request Fingerprint) bool {
 	if l.counts[request] == 0 && l.blocks[request] == nil {
 		return false
 	}
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -64,14 +64,14 @@
 			for i, s := range test.steps {
 				now := at(float64(i))
 				if s.completed != 0 {
-					l.Completed(now, s.completed)
+					l.RecordCompletion(now, s.completed)
 				} else {
-					l.Crashed(now, s.crash)
+					l.RecordCrash(now, s.crash)
 				}
 			}
 			var got []Fingerprint
 			for request := range Fingerprint(10) {
-				if l.Quarantined(at(20), request) > 0 {
+				if l.BlockRemaining(at(20), request) > 0 {
 					got = append(got, request)
 				}
 			}
@@ -84,13 +84,13 @@
 func TestBlockExplainsItsCrashes(t *testing.T) {
 	l := NewLedger()
 	for i, c := range crashes([]Fingerprint{poison, 2}, []Fingerprint{poison, 2}, []Fingerprint{poison}) {
-		l.Crashed(at(float64(i)), c)
+		l.RecordCrash(at(float64(i)), c)
 	}
-	assert.Equal(t, l.Count(2), 0)
+	assert.Equal(t, l.CrashCount(2), 0)
 	// Requests that were under way when it was blocked crash targets yet.
-	l.Crashed(at(4), Crash{ID: 9, Answered: true, Suspects: []Fingerprint{poison, 2}})
-	assert.Equal(t, l.Count(2), 0)
-	assert.Equal(t, l.Quarantined(at(4), poison), firstBlock-2*time.Second)
+	l.RecordCrash(at(4), Crash{ID: 9, Answered: true, Suspects: []Fingerprint{poison, 2}})
+	assert.Equal(t, l.CrashCount(2), 0)
+	assert.Equal(t, l.BlockRemaining(at(4), poison), firstBlock-2*time.Second)
 }
 
 // Guards against a request that is never tried again, and against one that is tried again as
@@ -98,13 +98,13 @@
 func TestTermGrows(t *testing.T) {
 	l := NewLedger()
 	for i, c := range crashes([]Fingerprint{poison}, []Fingerprint{poison}, []Fingerprint{poison}) {
-		l.Crashed(at(float64(i)), c)
+		l.RecordCrash(at(float64(i)), c)
 	}
 	free := at(2).Add(firstBlock)
-	assert.Equal(t, l.Quarantined(free, poison), time.Duration(0))
-	l.Crashed(free, Crash{ID: 7, Answered: true, Suspects: []Fingerprint{poison, 2}})
-	assert.Equal(t, l.Quarantined(free, poison), blockGrowth*firstBlock)
-	assert.Equal(t, l.Quarantined(free, 2), time.Duration(0))
+	assert.Equal(t, l.BlockRemaining(free, poison), time.Duration(0))
+	l.RecordCrash(free, Crash{ID: 7, Answered: true, Suspects: []Fingerprint{poison, 2}})
+	assert.Equal(t, l.BlockRemaining(free, poison), blockGrowth*firstBlock)
+	assert.Equal(t, l.BlockRemaining(free, 2), time.Duration(0))
 }
 
 // Guards against a broken neighbour whose count of blocks takes a node for ever to work out.
@@ -112,7 +112,7 @@
 	for _, times := range []int{-1, 0, 1, 1 << 62} {
 		l := NewLedger()
 		l.Merge(start, 1, &Notice{Blocks: []Block{{Request: poison, Times: times}}})
-		left := l.Quarantined(start, poison)
+		left := l.BlockRemaining(start, poison)
 		assert.Assert(t, left >= firstBlock && left <= longestBlock, "%d: %s", times, left)
 	}
 }
@@ -128,9 +128,9 @@
 		for range 2 * maxSuspects {
 			c.Suspects = append(c.Suspects, Fingerprint(random.Uint64()))
 		}
-		l.Crashed(now, c)
+		l.RecordCrash(now, c)
 		for _, request := range c.Suspects[:maxSuspects] {
-			l.Completed(now, request)
+			l.RecordCompletion(now, request)
 		}
 		l.Merge(now, 1, &Notice{Blocks: []Block{{Request: Fingerprint(id), Times: 1}}})
 	}
@@ -186,15 +186,15 @@
 		}
 	}
 	for i, c := range crashes([]Fingerprint{poison, 2}, []Fingerprint{poison, 3}, []Fingerprint{poison, 2}) {
-		ledgers[i].Crashed(at(float64(i)), c)
+		ledgers[i].RecordCrash(at(float64(i)), c)
 		pass(at(float64(i)+0.1), nodes-1)
 	}
-	ledgers[0].Completed(at(4), 2)
+	ledgers[0].RecordCompletion(at(4), 2)
 	pass(at(4.1), nodes-1)
 	assert.Assert(t, told <= 5*2*(nodes-1)*2, "%d notices", told)
 	pass(at(5), nodes)
 	for i, l := range ledgers {
-		assert.Assert(t, l.Quarantined(at(5), poison) > 0, "node %d", i)
-		assert.Equal(t, l.Count(2), 0, "node %d", i)
+		assert.Assert(t, l.BlockRemaining(at(5), poison) > 0, "node %d", i)
+		assert.Equal(t, l.CrashCount(2), 0, "node %d", i)
 	}
 }
