--- a/internal/admission/cost_test.go
+++ b/internal/admission/cost_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// loaded returns a queue with all slots held and so many requests waiting.
-func loaded(slots, customers, waiting int) (*Queue, []Request) {
+// newLoadedQueue returns a queue with all slots held and the given number of requests
+// waiting.
+func newLoadedQueue(slots, customers, waiting int) (*Queue, []Request) {
 	terms := Terms{Slots: slots, Shares: map[string]Share{}, QueuePerSlot: 1 + 2*waiting/slots}
 	names := make([]string, customers)
 	for i := range customers {
@@ -25,21 +26,21 @@
 	return q, requests
 }
 
-// cycle ends the oldest request, which starts another, and offers it anew.
-func cycle(q *Queue, running []Request, i int) {
-	slot := i % len(running)
+// replaceRequest ends the oldest request, which starts another, and offers it again.
+func replaceRequest(q *Queue, running []Request, n int) {
+	slot := n % len(running)
 	ended := running[slot]
-	now := start.Add(time.Duration(i) * time.Microsecond)
+	now := start.Add(time.Duration(n) * time.Microsecond)
 	changes := q.Release(now, ended.ID)
 	running[slot] = changes.Started[0]
 	q.Offer(now, ended)
 }
 
-// The path of an admitted request, waiting or not, allocates nothing: at 430,000
-// calls a second garbage would cost more than the decisions.
+// Guards against allocations on the path of an admitted request, waiting or not: at
+// 430,000 calls a second the garbage would cost more than the decisions.
 func TestAdmittedPathAllocatesNothing(t *testing.T) {
 	for _, waiting := range []int{0, 64} {
-		q, requests := loaded(12, 6, waiting)
+		q, requests := newLoadedQueue(12, 6, waiting)
 		if waiting == 0 {
 			i := 0
 			assert.Equal(t, testing.AllocsPerRun(10_000, func() {
@@ -51,7 +52,7 @@
 			continue
 		}
 		i := 0
-		assert.Equal(t, testing.AllocsPerRun(10_000, func() { cycle(q, requests[:12], i); i++ }), 0.0)
+		assert.Equal(t, testing.AllocsPerRun(10_000, func() { replaceRequest(q, requests[:12], i); i++ }), 0.0)
 	}
 }
 
@@ -60,27 +61,28 @@
 		{12, 3, 12}, {18, 3, 72}, {12, 30, 120}, {18, 300, 1200}, {18, 300, 12000},
 	} {
 		b.Run(fmt.Sprintf("slots=%d/customers=%d/waiting=%d", size.slots, size.customers, size.waiting), func(b *testing.B) {
-			q, requests := loaded(size.slots, size.customers, size.waiting)
+			q, requests := newLoadedQueue(size.slots, size.customers, size.waiting)
 			if q.Waiting() < size.waiting {
-				b.Fatalf("%d wait", q.Waiting())
+				b.Fatalf("%d requests wait", q.Waiting())
 			}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				cycle(q, requests[:size.slots], i)
+				replaceRequest(q, requests[:size.slots], i)
 				i++
 			}
 		})
 	}
 }
 
-// BenchmarkMemory gives the slopes of docs/CAPACITY.md.
+// BenchmarkMemory measures the memory per customer and per waiting request for
+// docs/CAPACITY.md.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range []struct{ customers, waiting int }{{3, 0}, {300, 0}, {300, 12000}} {
 		b.Run(fmt.Sprintf("customers=%d/waiting=%d", size.customers, size.waiting), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				loaded(18, size.customers, size.waiting)
+				newLoadedQueue(18, size.customers, size.waiting)
 			}
 		})
 	}
--- a/internal/admission/customer.go
+++ b/internal/admission/customer.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// roundingTolerance absorbs the error of shares written in decimal, so that
-// 0.7 of 10 slots is 7 slots and not 6.
+// roundingTolerance absorbs the rounding error of decimal shares, so that 0.7 of 10
+// slots is 7 slots and not 6.
 const roundingTolerance = 1e-9
 
-// leastWeight is the weight of customers with a share near or at zero when
-// unclaimed slots are divided.
-const leastWeight = 0.01
+// minWeight is the weight, when unused slots are divided, of customers whose share is at
+// or near zero.
+const minWeight = 0.01
 
-// customer is one contract's state at the target.
+// customer is the state of one contract at the target.
 type customer struct {
 	name    string
 	granted bool
 	share   Share
 
-	// guaranteed is the share in slots; whole and fraction are its parts.
+	// guaranteed is the share in slots; wholeSlots and fraction are its integer and
+	// fractional parts.
 	guaranteed float64
-	whole      int
+	wholeSlots int
 	fraction   float64
-	// ownLong is how many long requests count as running on the customer's
-	// own slots: its guarantee rounded up.
-	ownLong    int
-	limit      int
-	longLimit  int
-	queueBound int
+	// guaranteedLong is the number of long requests that count as running on the
+	// customer's own slots: its guarantee rounded up.
+	guaranteedLong int
+	limit          int
+	longLimit      int
+	queueBound     int
 
 	held     int
 	heldLong int
-	short    lane
-	long     lane
+	short    priorityQueue
+	long     priorityQueue
 
-	// fractionPass and lentPass are the virtual times of start-time fair
-	// queueing over the customers' fractional slots and over lent slots.
-	fractionPass  float64
-	lentPass      float64
-	fractionSince float64
+	// fractionPass and borrowedPass are the customer's virtual times in start-time fair
+	// queueing: over the customers' fractional slots and over borrowed slots.
+	fractionPass      float64
+	borrowedPass      float64
+	fractionHeldSince float64
 
-	// levels are those of the customer's chains that come back to the service.
+	// levels holds the revisit levels of the customer's call chains.
 	levels revisitLevels
 
 	shortHold meanHold
 	longHold  meanHold
-	// nextReturn is when the last refused caller was told to come back.
-	nextReturn time.Time
+	// lastRetryAt is the time at which the caller that was refused last should retry.
+	lastRetryAt time.Time
 
-	// position is the place in each heap, or notInHeap.
+	// position is the customer's index in each heap, or notInHeap.
 	position [heapCount]int
 }
 
@@ -61,41 +62,41 @@
 	return c
 }
 
-// FloorSlots returns how many whole slots a part of slots is.
+// FloorSlots converts a part of the slots to whole slots, rounding down.
 func FloorSlots(part float64, slots int) int {
 	return int(math.Floor(part*float64(slots) + roundingTolerance))
 }
 
-// grant takes the terms. Guarantees follow the slots that the target has at the
-// moment. Limits follow the configured slots: they cap what a customer may cost
-// and would, taken of fewer slots, round to nothing.
+// grant applies the terms. Guarantees are computed from the current number of slots.
+// Limits are computed from the configured number: they bound a customer's cost, and a
+// limit computed from fewer slots could round to zero.
 func (c *customer) grant(share Share, terms *Terms, slots int) {
 	c.granted = true
 	c.share = share
 	c.guaranteed = share.Guaranteed * float64(slots)
-	c.whole = FloorSlots(share.Guaranteed, slots)
-	c.fraction = c.guaranteed - float64(c.whole)
+	c.wholeSlots = FloorSlots(share.Guaranteed, slots)
+	c.fraction = c.guaranteed - float64(c.wholeSlots)
 	if c.fraction < roundingTolerance {
 		c.fraction = 0
-		c.guaranteed = float64(c.whole)
+		c.guaranteed = float64(c.wholeSlots)
 	}
-	c.ownLong = int(math.Ceil(c.guaranteed))
+	c.guaranteedLong = int(math.Ceil(c.guaranteed))
 	c.limit = FloorSlots(share.Limit, terms.Slots)
 	c.longLimit = c.limit
 	if share.LongLimit > 0 {
 		c.longLimit = FloorSlots(share.LongLimit, terms.Slots)
 	}
-	c.queueBound = terms.QueuePerSlot * max(c.ownLong, 1)
+	c.queueBound = terms.QueuePerSlot * max(c.guaranteedLong, 1)
 }
 
-// revoke ends the customer's grant; what runs still counts.
+// revoke removes the customer's grant. Its running requests still count.
 func (c *customer) revoke() {
 	c.granted = false
 	c.share = Share{}
 	c.guaranteed = 0
-	c.whole = 0
+	c.wholeSlots = 0
 	c.fraction = 0
-	c.ownLong = 0
+	c.guaranteedLong = 0
 	c.limit = 0
 	c.longLimit = 0
 	c.queueBound = 0
@@ -103,42 +104,44 @@
 
 func (c *customer) waiting() int { return c.short.count + c.long.count }
 
-func (c *customer) lane(long bool) *lane {
+func (c *customer) queueFor(long bool) *priorityQueue {
 	if long {
 		return &c.long
 	}
 	return &c.short
 }
 
-// tier is the heap that the customer's next slot is given from.
+// tier returns the heap from which the customer gets its next slot.
 func (c *customer) tier() int {
 	switch {
-	case c.held < c.whole:
-		return heapBelow
+	case c.held < c.wholeSlots:
+		return heapGuaranteed
 	case float64(c.held) < c.guaranteed:
 		return heapFraction
 	}
-	return heapLent
+	return heapBorrowed
 }
 
-// weight divides lent slots among customers.
-func (c *customer) weight() float64 { return max(c.share.Guaranteed, leastWeight) }
+// weight is the customer's weight when borrowed slots are divided.
+func (c *customer) weight() float64 { return max(c.share.Guaranteed, minWeight) }
 
-// lentLong is how many long requests the customer runs on slots that are not
-// its own.
-func (c *customer) lentLong() int { return max(0, c.heldLong-c.ownLong) }
+// borrowedLong returns the number of long requests that the customer runs on borrowed
+// slots.
+func (c *customer) borrowedLong() int { return max(0, c.heldLong-c.guaranteedLong) }
 
-// mayRunLong reports whether a long request may start; lent says whether it
-// would run on a lent slot, which the target bounds for all customers together.
-func (c *customer) mayRunLong() (ok, lent bool) {
+// canStartLong reports whether a long request may start, and whether it would use a
+// borrowed slot. Borrowed slots for long requests are limited for all customers
+// together.
+func (c *customer) canStartLong() (ok, borrowed bool) {
 	ok = c.long.count > 0 && c.heldLong < c.longLimit
-	return ok, c.heldLong >= c.ownLong
+	return ok, c.heldLong >= c.guaranteedLong
 }
 
-// best returns the request that the customer wants served next.
-func (c *customer) best(lentLongLeft bool) *entry {
+// next returns the customer's request that is served next, or nil. mayBorrowLong reports
+// whether long requests may borrow another slot.
+func (c *customer) next(mayBorrowLong bool) *entry {
 	first := c.short.first()
-	if ok, lent := c.mayRunLong(); ok && (!lent || lentLongLeft) {
+	if ok, borrowed := c.canStartLong(); ok && (!borrowed || mayBorrowLong) {
 		if long := c.long.first(); first == nil || before(long, first) {
 			return long
 		}
--- a/internal/admission/cycle.go
+++ b/internal/admission/cycle.go
@@ -2,62 +2,64 @@
 
 import "time"
 
-// Calls of one chain that come back to a service while an outer call of the
-// chain holds a slot of it can bring a target to a stop: all slots are held by
-// outer calls, all their inner calls wait for a slot, and nothing moves until
-// deadlines pass. So while such calls of a customer come, its shallower calls
-// leave one slot free for each deeper level. That is enough: the innermost call
-// always finds a slot, its end also ends the outer call that waits for it, and
-// the two slots go to inner calls first. Other customers' calls may take these
-// slots: theirs end without an inner call, or leave slots free themselves. A
-// caller can claim any chain, and must not keep slots from anybody else by it.
-// Customers without cycles keep nothing back.
+// A call chain can return to a service of which an outer call of the chain holds a slot.
+// Such cycles can deadlock a target: all slots are held by outer calls, all their inner
+// calls wait for a slot, and nothing proceeds until deadlines pass. Therefore, while a
+// customer sends such calls, its shallower calls leave one slot free for each deeper
+// level. One slot a level is enough: the innermost call always finds a slot, its end
+// also lets the outer call that waits for it end, and both slots go to inner calls
+// first.
+//
+// Other customers' calls may use the reserved slots: they end without an inner call, or
+// reserve slots themselves. A caller can claim any chain, so a claim must not withhold
+// slots from other customers. Customers without cycles reserve nothing.
 
 const (
-	// revisitMemory is how long a level counts after its last call came.
-	revisitMemory = 10 * time.Second
-	// reservedPart bounds the slots kept for inner calls: one in so many.
-	reservedPart = 2
+	// revisitWindow is how long a level counts after its most recent call.
+	revisitWindow = 10 * time.Second
+	// At most slots/reservedDivisor slots are reserved for inner calls.
+	reservedDivisor = 2
 )
 
-// revisitLevels remembers when a call of each level last came.
+// revisitLevels holds the time of the most recent call of each level.
 type revisitLevels [MaxDepth + 1]time.Time
 
-func revisitsOf(r *Request) int { return min(max(r.Revisits, 0), MaxDepth) }
+func revisitLevel(r *Request) int { return min(max(r.Revisits, 0), MaxDepth) }
 
-// see notes a call's level.
-func (l *revisitLevels) see(now time.Time, r *Request) {
-	if level := revisitsOf(r); level > 0 {
+// observe records the level of a call.
+func (l *revisitLevels) observe(now time.Time, r *Request) {
+	if level := revisitLevel(r); level > 0 {
 		l[level] = now
 	}
 }
 
-// deepest is the highest level that calls came from lately; 0 without cycles.
+// deepest returns the highest level with a call within revisitWindow; 0 without cycles.
 func (l *revisitLevels) deepest(now time.Time) int {
 	for level := MaxDepth; level > 0; level-- {
-		if !l[level].IsZero() && now.Sub(l[level]) <= revisitMemory {
+		if !l[level].IsZero() && now.Sub(l[level]) <= revisitWindow {
 			return level
 		}
 	}
 	return 0
 }
 
-// reserved is how many slots a customer with these levels leaves free for
-// deeper calls than those of the level.
-func (q *Queue) reserved(now time.Time, levels *revisitLevels, level int) int {
+// reservedSlots returns how many slots a request of the given level must leave free for
+// deeper calls of its customer.
+func (q *Queue) reservedSlots(now time.Time, levels *revisitLevels, level int) int {
 	deeper := levels.deepest(now) - level
-	return max(0, min(deeper, q.slots/reservedPart))
+	return max(0, min(deeper, q.slots/reservedDivisor))
 }
 
-// leavesFree reports whether the waiting request leaves the slots free that are
-// kept for its customer's deeper calls.
-func (q *Queue) leavesFree(now time.Time, e *entry) bool {
-	return q.reserved(now, &e.customer.levels, revisitsOf(&e.request)) < q.slots-q.running
+// leavesReservedFree reports whether the waiting request, if it started, would leave the
+// slots free that are reserved for its customer's deeper calls.
+func (q *Queue) leavesReservedFree(now time.Time, e *entry) bool {
+	return q.reservedSlots(now, &e.customer.levels, revisitLevel(&e.request)) < q.slots-q.running
 }
 
-// nextInCycle returns the request that a free slot goes to where some customer
-// must leave it free, by the same order of customers as other slots, or nil. It
-// looks at every customer and, of those with cycles, at every waiting request.
+// nextInCycle returns the request that gets the next free slot while some customer must
+// leave slots free, or nil, and the tier of its customer. Customers are ordered as for
+// other slots. The cost is linear in the customers and, for those with cycles, in their
+// waiting requests.
 func (q *Queue) nextInCycle(now time.Time) (*entry, int) {
 	var best *entry
 	var bestTier int
@@ -78,12 +80,12 @@
 	return best, bestTier
 }
 
-// firstAllowed returns the customer's first waiting request that leaves enough
+// firstAllowed returns the customer's first waiting request that leaves the reserved
 // slots free.
 func (q *Queue) firstAllowed(now time.Time, c *customer) *entry {
-	allowed := func(e *entry) bool { return q.leavesFree(now, e) }
+	allowed := func(e *entry) bool { return q.leavesReservedFree(now, e) }
 	first := c.short.firstWhere(allowed)
-	if ok, lent := c.mayRunLong(); ok && (!lent || q.lentLong < q.lentLongBound) {
+	if ok, borrowed := c.canStartLong(); ok && (!borrowed || q.borrowedLong < q.borrowedLongLimit) {
 		if long := c.long.firstWhere(allowed); first == nil || long != nil && before(long, first) {
 			return long
 		}
@@ -91,9 +93,9 @@
 	return first
 }
 
-// Eligible is the number of waiting requests that a slot would go to, were one
-// free, for measurements; it visits every customer and, in a cycle, every
-// waiting request.
+// Eligible returns the number of waiting requests that could use a free slot. It is
+// meant for measurements: it visits every customer and, in a cycle, every waiting
+// request.
 func (q *Queue) Eligible() int {
 	if q.levels.deepest(q.lastEvent) > 0 {
 		return q.eligibleInCycle()
@@ -104,7 +106,7 @@
 			continue
 		}
 		total += c.short.count
-		if ok, lent := c.mayRunLong(); ok && (!lent || q.lentLong < q.lentLongBound) {
+		if ok, borrowed := c.canStartLong(); ok && (!borrowed || q.borrowedLong < q.borrowedLongLimit) {
 			total += c.long.count
 		}
 	}
@@ -123,10 +125,10 @@
 
 func (q *Queue) eligible(e *entry) bool {
 	c := e.customer
-	reserved := q.reserved(q.lastEvent, &c.levels, revisitsOf(&e.request))
+	reserved := q.reservedSlots(q.lastEvent, &c.levels, revisitLevel(&e.request))
 	if c.held >= c.limit || reserved > 0 && reserved >= q.slots-q.running {
 		return false
 	}
-	ok, lent := c.mayRunLong()
-	return !e.request.Long || ok && (!lent || q.lentLong < q.lentLongBound)
+	ok, borrowed := c.canStartLong()
+	return !e.request.Long || ok && (!borrowed || q.borrowedLong < q.borrowedLongLimit)
 }
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Times of leaving a draining target alone.
+// Parameters of Breaker.
 const (
-	// drainAfter is how many calls in a row a target must shed, each while it
-	// ran nothing else of ours, before it counts as draining.
-	drainAfter = 2
-	// drainPause is the pause before a first trial; it doubles with each trial
-	// that is shed too, up to drainPauseMost.
-	drainPause     = time.Second
-	drainPauseMost = 30 * time.Second
+	// breakerThreshold is the number of consecutive sheds, each while the target ran no
+	// other call of this node, that opens the breaker.
+	breakerThreshold = 2
+	// minBreakerPause is the pause before the first probe. It doubles with each probe
+	// that is shed, up to maxBreakerPause.
+	minBreakerPause = time.Second
+	maxBreakerPause = 30 * time.Second
 )
 
-// Drain decides whether a target that sheds still takes work. A target may leave
-// by itself, long before the VM list names it, and its health may lie or lag: it
-// would be offered every call and shed it, and each caller would pay for the
-// detour. A shed while nothing of ours runs there can't be our own load, so two
-// in a row are taken for a departure. A trial now and then finds out when the
-// target is back, so that a wrong judgement costs a pause and no more.
+// Breaker is a circuit breaker for a target that sheds all calls. A target may start to
+// drain on its own, long before the VM list marks it as leaving, and its health check
+// may be wrong or late. Without the breaker it would be offered every call and shed
+// each, and every caller would pay for the detour. A shed while no other call of this
+// node runs at the target can't be caused by the node's own load, so two in a row are
+// taken as draining. Occasional probes detect when the target is back, so a wrong
+// decision costs no more than a pause.
 //
 // It is not safe for concurrent use.
 type Breaker struct {
@@ -27,11 +28,11 @@
 	until time.Time
 }
 
-// Offer reports whether a call may go to the target now. If not, it says how
-// long until the next trial. The call that is let through as a trial keeps
-// others back until its result is known or the pause is over again.
+// Allow reports whether a call may be sent to the target now and, if not, the time until
+// the next probe. A call let through as a probe blocks others until its result is known
+// or another pause has passed.
 func (d *Breaker) Allow(now time.Time) (wait time.Duration, ok bool) {
-	if d.sheds < drainAfter {
+	if d.sheds < breakerThreshold {
 		return 0, true
 	}
 	if now.Before(d.until) {
@@ -41,19 +42,19 @@
 	return 0, true
 }
 
-// Shed takes a call that the target shed; alone says that it ran no other call
-// of ours.
+// RecordShed records a call that the target shed. alone means that the target ran no
+// other call of this node.
 func (d *Breaker) RecordShed(now time.Time, alone bool) {
 	if !alone {
 		return
 	}
 	d.sheds++
-	if d.sheds < drainAfter {
+	if d.sheds < breakerThreshold {
 		return
 	}
-	d.pause = min(max(2*d.pause, drainPause), drainPauseMost)
+	d.pause = min(max(2*d.pause, minBreakerPause), maxBreakerPause)
 	d.until = now.Add(d.pause)
 }
 
-// Took takes a call that the target did not shed.
+// RecordAccepted records a call that the target did not shed, and closes the breaker.
 func (d *Breaker) RecordAccepted() { *d = Breaker{} }
--- a/internal/admission/main_test.go
+++ b/internal/admission/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the property test's seed and size, so that every run gives the
-// same verdict; flags on the command line still choose others.
+// TestMain sets the seed and the size of the property test, so that every run gives the
+// same result. Flags on the command line override them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	chosen := map[string]bool{}
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -12,12 +12,12 @@
 	"pgregory.net/rapid"
 )
 
-// longestShort bounds the service time of short requests in the model: a lent
-// slot is back after this long.
-const longestShort = 500 * time.Millisecond
+// maxShortService bounds the service time of short requests in the model, and so the
+// time until a borrowed slot is returned.
+const maxShortService = 500 * time.Millisecond
 
-// model drives a queue in virtual time and keeps its own books, from which it
-// checks every promise after every event.
+// model drives a queue in virtual time and tracks all requests itself, to check every
+// guarantee after every event.
 type model struct {
 	t     *rapid.T
 	q     *Queue
@@ -25,21 +25,21 @@
 	terms Terms
 	names []string
 
-	ends    map[string]time.Time
-	running map[string]Request
-	waiting map[string]Request
-	ended   map[string]int
-	offered int
-	lacking map[string]time.Time
-	// seen is when a call of each customer and level last came.
-	seen map[string]map[int]time.Time
+	endsAt       map[string]time.Time
+	running      map[string]Request
+	waiting      map[string]Request
+	ended        map[string]int
+	offered      int
+	lackingSince map[string]time.Time
+	// lastSeen is the time of the most recent call of each customer and level.
+	lastSeen map[string]map[int]time.Time
 }
 
 func newModel(t *rapid.T) *model {
 	m := &model{
-		t: t, now: time.Unix(1_000_000, 0), ends: map[string]time.Time{}, running: map[string]Request{},
-		waiting: map[string]Request{}, ended: map[string]int{}, lacking: map[string]time.Time{},
-		seen: map[string]map[int]time.Time{},
+		t: t, now: time.Unix(1_000_000, 0), endsAt: map[string]time.Time{}, running: map[string]Request{},
+		waiting: map[string]Request{}, ended: map[string]int{}, lackingSince: map[string]time.Time{},
+		lastSeen: map[string]map[int]time.Time{},
 	}
 	for i := range rapid.IntRange(1, 6).Draw(t, "customers") {
 		m.names = append(m.names, fmt.Sprintf("customer-%d", i))
@@ -53,7 +53,7 @@
 	terms := Terms{
 		Slots: rapid.IntRange(1, 18).Draw(m.t, "slots"), Shares: map[string]Share{},
 		QueuePerSlot:    rapid.IntRange(1, 4).Draw(m.t, "queue"),
-		LongBorrowLimit: float64(rapid.IntRange(0, 2).Draw(m.t, "long lent")) / 4,
+		LongBorrowLimit: float64(rapid.IntRange(0, 2).Draw(m.t, "long borrow limit")) / 4,
 	}
 	left := 20
 	for _, name := range m.names {
@@ -85,20 +85,20 @@
 	return all, long
 }
 
-func (m *model) own(name string) int {
+func (m *model) ownSlots(name string) int {
 	return int(math.Ceil(m.guaranteed(name) - roundingTolerance))
 }
 
-func (m *model) lentLong() int {
+func (m *model) borrowedLong() int {
 	total := 0
 	for _, name := range m.names {
 		_, long := m.held(name)
-		total += max(0, long-m.own(name))
+		total += max(0, long-m.ownSlots(name))
 	}
 	return total
 }
 
-func (m *model) longBound() int {
+func (m *model) borrowedLongLimit() int {
 	claimed := 0.0
 	for _, share := range m.terms.Shares {
 		claimed += share.Guaranteed
@@ -106,20 +106,20 @@
 	return FloorSlots(m.terms.LongBorrowLimit, m.q.Slots()) + FloorSlots(1-claimed, m.q.Slots())
 }
 
-// reserved is how many slots a customer leaves free for deeper calls of its own
-// cycles that were seen lately.
+// reserved returns how many slots a customer leaves free for deeper calls of its own
+// cycles that were seen recently.
 func (m *model) reserved(name string, level int) int {
 	deepest := level
 	for deeper := level + 1; deeper <= MaxDepth; deeper++ {
-		seen, ok := m.seen[name][deeper]
-		if ok && m.now.Sub(seen) <= revisitMemory {
+		seen, ok := m.lastSeen[name][deeper]
+		if ok && m.now.Sub(seen) <= revisitWindow {
 			deepest = deeper
 		}
 	}
 	return min(deepest-level, m.q.Slots()/2)
 }
 
-// eligible reports whether a waiting request may run on a free slot.
+// eligible reports whether a waiting request may use a free slot.
 func (m *model) eligible(r Request) bool {
 	held, long := m.held(r.Customer)
 	if m.q.Slots()-len(m.running) <= m.reserved(r.Customer, r.Revisits) {
@@ -128,7 +128,7 @@
 	if held >= m.limit(r.Customer) || !r.Deadline.After(m.now) {
 		return false
 	}
-	return !r.Long || long < m.own(r.Customer) || m.lentLong() < m.longBound()
+	return !r.Long || long < m.ownSlots(r.Customer) || m.borrowedLong() < m.borrowedLongLimit()
 }
 
 // lacksSlot reports whether the customer waits for a whole guaranteed slot.
@@ -147,13 +147,14 @@
 
 func (m *model) start(r Request) {
 	held, _ := m.held(r.Customer)
-	// What runs is never cut, so a limit that sank is kept by starting nothing.
-	assert.Assert(m.t, m.eligible(r), "%+v started; %d held, limit %d; %d of %d long lent", r, held, m.limit(r.Customer), m.lentLong(), m.longBound())
+	// Running requests are never cut, so after a limit has been lowered no request may
+	// start until it is met again.
+	assert.Assert(m.t, m.eligible(r), "%+v started; %d held, limit %d; %d of %d slots borrowed by long requests", r, held, m.limit(r.Customer), m.borrowedLong(), m.borrowedLongLimit())
 	assert.Assert(m.t, len(m.running) < m.q.Slots())
 	if float64(held) >= m.guaranteed(r.Customer) {
 		for _, name := range m.names {
 			assert.Assert(m.t, name == r.Customer || !m.lacksSlot(name),
-				"%s got a lent slot while %s lacks a guaranteed one", r.Customer, name)
+				"%s got a borrowed slot while %s lacks a guaranteed one", r.Customer, name)
 		}
 	}
 	for _, other := range m.waiting {
@@ -162,11 +163,11 @@
 		}
 	}
 	m.running[r.ID] = r
-	service := rapid.IntRange(1, int(longestShort/time.Millisecond)).Draw(m.t, "service")
+	service := rapid.IntRange(1, int(maxShortService/time.Millisecond)).Draw(m.t, "service")
 	if r.Long {
 		service *= 100
 	}
-	m.ends[r.ID] = m.now.Add(time.Duration(service) * time.Millisecond)
+	m.endsAt[r.ID] = m.now.Add(time.Duration(service) * time.Millisecond)
 }
 
 func (m *model) finish(id string) {
@@ -174,18 +175,18 @@
 	assert.Assert(m.t, m.ended[id] == 1, "%s ended twice", id)
 	delete(m.waiting, id)
 	delete(m.running, id)
-	delete(m.ends, id)
+	delete(m.endsAt, id)
 }
 
-func (m *model) take(changes Changes) {
+func (m *model) apply(changes Changes) {
 	for _, d := range changes.Dropped {
 		_, waited := m.waiting[d.Request.ID]
-		assert.Assert(m.t, waited, "%s was dropped but did not wait", d.Request.ID)
+		assert.Assert(m.t, waited, "%s was dropped but was not waiting", d.Request.ID)
 		m.finish(d.Request.ID)
 	}
 	for _, r := range changes.Started {
 		_, waited := m.waiting[r.ID]
-		assert.Assert(m.t, waited, "%s started but did not wait", r.ID)
+		assert.Assert(m.t, waited, "%s started but was not waiting", r.ID)
 		delete(m.waiting, r.ID)
 		m.start(r)
 	}
@@ -201,10 +202,10 @@
 	m.offered++
 	if rapid.IntRange(0, 19).Draw(m.t, "cycle") == 0 {
 		r.Revisits = 1 + r.Depth
-		if m.seen[r.Customer] == nil {
-			m.seen[r.Customer] = map[int]time.Time{}
+		if m.lastSeen[r.Customer] == nil {
+			m.lastSeen[r.Customer] = map[int]time.Time{}
 		}
-		m.seen[r.Customer][r.Revisits] = m.now
+		m.lastSeen[r.Customer][r.Revisits] = m.now
 	}
 	decision, changes := m.q.Offer(m.now, r)
 	if decision.Verdict == Refused {
@@ -212,15 +213,15 @@
 	} else {
 		m.waiting[r.ID] = r
 	}
-	m.take(changes)
+	m.apply(changes)
 }
 
-// advance moves time on; requests that end in between give their slots back.
+// advance moves time forward; requests that end in between release their slots.
 func (m *model) advance(d time.Duration) {
 	until := m.now.Add(d)
 	for {
 		next, at := "", until
-		for id, end := range m.ends {
+		for id, end := range m.endsAt {
 			if end.Before(at) || end.Equal(at) && id < next {
 				next, at = id, end
 			}
@@ -230,20 +231,20 @@
 			return
 		}
 		m.finish(next)
-		m.take(m.q.Release(m.now, next))
+		m.apply(m.q.Release(m.now, next))
 		m.check()
 	}
 }
 
 func (m *model) cancel() {
-	if id, ok := anyOf(m.waiting); ok {
+	if id, ok := smallestID(m.waiting); ok {
 		assert.Assert(m.t, m.q.Cancel(id))
 		m.finish(id)
 	}
 }
 
-// anyOf picks the same request in every run.
-func anyOf(requests map[string]Request) (string, bool) {
+// smallestID returns the smallest ID, so that every run picks the same request.
+func smallestID(requests map[string]Request) (string, bool) {
 	if len(requests) == 0 {
 		return "", false
 	}
@@ -253,17 +254,17 @@
 func (m *model) configure() {
 	m.terms = m.drawTerms()
 	changes := m.q.Configure(m.now, m.terms)
-	m.lacking = map[string]time.Time{}
-	m.take(changes)
+	m.lackingSince = map[string]time.Time{}
+	m.apply(changes)
 }
 
-// shed is the target refusing a request that the node had admitted.
+// shed simulates that the target refuses a request which the node has admitted.
 func (m *model) shed() {
-	if id, ok := anyOf(m.running); ok {
-		m.take(m.q.Shed(m.now))
+	if id, ok := smallestID(m.running); ok {
+		m.apply(m.q.Shed(m.now))
 		m.finish(id)
-		m.take(m.q.Release(m.now, id))
-		m.lacking = map[string]time.Time{}
+		m.apply(m.q.Release(m.now, id))
+		m.lackingSince = map[string]time.Time{}
 	}
 }
 
@@ -272,39 +273,40 @@
 	assert.Equal(m.t, m.q.Waiting(), len(m.waiting))
 	if len(m.running) < m.q.Slots() {
 		for _, r := range m.waiting {
-			assert.Assert(m.t, !m.eligible(r), "%d of %d slots idle while %+v waits", m.q.Slots()-len(m.running), m.q.Slots(), r)
+			assert.Assert(m.t, !m.eligible(r), "%d of %d slots are idle while %+v waits", m.q.Slots()-len(m.running), m.q.Slots(), r)
 		}
 	}
 	for _, name := range m.names {
 		if !m.lacksSlot(name) {
-			delete(m.lacking, name)
-		} else if _, known := m.lacking[name]; !known {
-			m.lacking[name] = m.now
+			delete(m.lackingSince, name)
+		} else if _, known := m.lackingSince[name]; !known {
+			m.lackingSince[name] = m.now
 		}
 	}
-	for name, since := range m.lacking {
-		if m.now.Sub(since) > longestShort {
-			m.checkLentReturned(name)
+	for name, since := range m.lackingSince {
+		if m.now.Sub(since) > maxShortService {
+			m.checkBorrowedReturned(name)
 		}
 	}
 }
 
-// checkLentReturned proves the bound: a customer that has lacked a whole slot
-// for as long as any short request may last sees no short request of others on
-// a lent slot; long ones keep theirs, within their own bound.
-func (m *model) checkLentReturned(lacking string) {
+// checkBorrowedReturned checks the bound on borrowing: once a customer has lacked a
+// whole slot for the longest service time of a short request, no other customer runs
+// short requests on borrowed slots. Long requests keep theirs, within their own bound.
+func (m *model) checkBorrowedReturned(lacking string) {
 	for _, name := range m.names {
 		held, long := m.held(name)
-		own := m.own(name)
-		assert.Assert(m.t, held-own <= max(0, long-own), "%s holds %d slots (%d long) with %.2f guaranteed, %s lacks one for over %s",
-			name, held, long, m.guaranteed(name), lacking, longestShort)
+		own := m.ownSlots(name)
+		assert.Assert(m.t, held-own <= max(0, long-own), "%s holds %d slots (%d long) with %.2f guaranteed, %s has lacked one for over %s",
+			name, held, long, m.guaranteed(name), lacking, maxShortService)
 	}
 }
 
-// Whatever customers, arrivals, service times, configuration changes, sheds and
-// vanishing clients come: guarantees come back with the next free slots, no
-// slot idles while a request could use it, limits hold, the order within a
-// contract holds, nothing starts dead, and each request ends exactly once.
+// Checks the guarantees of admission under random customers, arrivals, service times,
+// configuration changes, sheds and canceled requests: guaranteed slots are returned with
+// the next free slots, no slot is idle while a request could use it, limits hold, the
+// order within a contract holds, no request starts past its deadline, and each request
+// ends exactly once.
 func TestPromisesHoldForRandomContracts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -322,7 +324,7 @@
 				m.configure()
 			}
 			m.check()
-			m.take(m.q.Tick(m.now))
+			m.apply(m.q.Tick(m.now))
 			m.check()
 		}
 		m.advance(time.Hour)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -5,37 +5,36 @@
 	"time"
 )
 
-// Queue is the admission state of one target. It is not safe for concurrent
-// use. Every event costs O(log customers); only Configure and a change of the
-// target's slots visit all customers.
+// Queue is the admission state of one target. It is not safe for concurrent use. Each
+// event costs O(log customers); only Configure and changes of the number of slots visit
+// all customers.
 type Queue struct {
 	terms Terms
-	// slots is how many requests may run now: the configured number, or fewer
-	// while the target sheds.
-	slots      int
-	slotsSince time.Time
+	// slots is how many requests may run now: the configured number, or fewer after the
+	// target has shed.
+	slots          int
+	slotsChangedAt time.Time
 
 	customers map[string]*customer
 	entries   map[string]*entry
-	free      *entry
+	freeList  *entry
 	tiers     tiers
 
-	running       int
-	runningLong   int
-	waiting       int
-	lentLong      int
-	lentLongBound int
-	arrivals      uint64
+	running           int
+	runningLong       int
+	waiting           int
+	borrowedLong      int
+	borrowedLongLimit int
+	arrivals          uint64
 
-	// levels are those of all customers' chains that come back to the service;
-	// see cycle.go.
+	// levels holds the revisit levels of all customers' call chains; see cycle.go.
 	levels revisitLevels
 
-	// contested is for how many seconds some customer has waited for a part
-	// of a slot; fractional slots are charged in this time, so that using one
-	// that nobody else wants costs nothing.
-	contested float64
-	lastEvent time.Time
+	// contendedSeconds is how long, in seconds, some customer has been waiting for its
+	// fractional slot. Use of fractional slots is charged in this time, so using one
+	// that nobody else needs costs nothing.
+	contendedSeconds float64
+	lastEvent        time.Time
 
 	shortHold meanHold
 	longHold  meanHold
@@ -43,8 +42,8 @@
 	changes   Changes
 }
 
-// NewQueue returns an empty queue under the terms; seed starts the spread of
-// the times that refused callers are told.
+// NewQueue returns an empty queue with the terms. seed initializes the random numbers
+// that spread retry times.
 func NewQueue(terms Terms, seed uint64) *Queue {
 	q := &Queue{
 		customers: map[string]*customer{},
@@ -52,21 +51,21 @@
 		tiers:     newTiers(),
 		random:    rand.New(rand.NewPCG(seed, 0)),
 	}
-	q.adopt(terms)
+	q.applyTerms(terms)
 	return q
 }
 
-// Running is the number of slots in use.
+// Running returns the number of slots in use.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting is the number of requests in the queue.
+// Waiting returns the number of requests in the queue.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Slots is the number of requests that may run now.
+// Slots returns the number of requests that may run now.
 func (q *Queue) Slots() int { return q.slots }
 
-// Offer decides on a new request. Requests that waited may start or end by the
-// same event; an admitted one is itself among those that started.
+// Offer decides on a new request. The same event may start or drop waiting requests. An
+// admitted request is itself listed in Changes.Started.
 func (q *Queue) Offer(now time.Time, r Request) (Decision, Changes) {
 	q.begin(now)
 	c := q.customers[r.Customer]
@@ -79,20 +78,20 @@
 	if _, known := q.entries[r.ID]; known {
 		return Decision{Verdict: Refused, Reason: ReasonDuplicate}, q.changes
 	}
-	q.levels.see(now, &r)
-	c.levels.see(now, &r)
+	q.levels.observe(now, &r)
+	c.levels.observe(now, &r)
 	e := q.newEntry(c, r)
 	if q.running < q.slots {
-		// Enough slots may be free for those that wait as well: a target
-		// that shed has slots back without any request ending.
+		// There may be enough free slots for waiting requests as well: after sheds, a
+		// target regains slots without any request ending.
 		q.enqueue(e)
-		q.start(now)
+		q.startWaiting(now)
 		if e.running {
 			return Decision{Verdict: Admitted}, q.changes
 		}
 		q.dequeue(e)
 	}
-	if reason := q.reasonNotToWait(now, e); reason != ReasonNone {
+	if reason := q.enqueueRefusal(now, e); reason != ReasonNone {
 		q.recycle(e)
 		return q.refuse(now, c, &r, reason)
 	}
@@ -100,8 +99,8 @@
 	return Decision{Verdict: Queued}, q.changes
 }
 
-// Release gives back the slot of a request that ended. Unknown and waiting
-// requests are left alone.
+// Release frees the slot of a request that ended. Unknown and waiting requests are
+// ignored.
 func (q *Queue) Release(now time.Time, id string) Changes {
 	q.begin(now)
 	e := q.entries[id]
@@ -109,20 +108,21 @@
 		return q.changes
 	}
 	q.finish(now, e)
-	q.start(now)
+	q.startWaiting(now)
 	return q.changes
 }
 
-// Tick starts what may start only because time has passed: slots come back after
-// sheds, and reserved ones after a cycle. Without it they would stay idle until
-// the next request came or ended, for minutes where only archives run.
+// Tick starts requests that can start only because time has passed: slots are restored
+// after sheds, and reserved slots are released after a cycle. Without it these slots
+// would stay idle until the next request arrived or ended, which takes minutes where
+// only archives run.
 func (q *Queue) Tick(now time.Time) Changes {
 	q.begin(now)
-	q.start(now)
+	q.startWaiting(now)
 	return q.changes
 }
 
-// Cancel takes a request out of the queue. It reports whether it was waiting.
+// Cancel removes a request from the queue. It reports whether the request was waiting.
 func (q *Queue) Cancel(id string) bool {
 	e := q.entries[id]
 	if e == nil || e.running {
@@ -133,13 +133,13 @@
 	return true
 }
 
-// begin starts an event: time passes, slots recover, the changes are empty.
+// begin starts an event: it clears the changes, advances time and restores slots.
 func (q *Queue) begin(now time.Time) {
 	q.changes.Started = q.changes.Started[:0]
 	q.changes.Dropped = q.changes.Dropped[:0]
 	if now.After(q.lastEvent) {
 		if q.tiers.heaps[heapFraction].Len() > 0 {
-			q.contested += now.Sub(q.lastEvent).Seconds()
+			q.contendedSeconds += now.Sub(q.lastEvent).Seconds()
 		}
 		q.lastEvent = now
 	}
@@ -148,26 +148,26 @@
 
 func (q *Queue) refuse(now time.Time, c *customer, r *Request, reason Reason) (Decision, Changes) {
 	if reason == ReasonBusy {
-		// The entry node tries elsewhere; a booked return would only make
-		// callers who are really refused wait longer.
-		after := jitter(q.returnInterval(c, r.Long), q.random)
+		// The entry node tries another target. Reserving a retry time for it would only
+		// delay callers that are refused for good.
+		after := jitter(q.retryInterval(c, r.Long), q.random)
 		return Decision{Verdict: Refused, Reason: reason, RetryAfter: after}, q.changes
 	}
 	after := q.retryAfter(now, c, r.Long)
 	return Decision{Verdict: Refused, Reason: reason, RetryAfter: after}, q.changes
 }
 
-// reasonNotToWait says why the request may not join the queue. Waiting would be
-// of no use to one that can't start before its deadline, and each customer's
-// queue is bounded, so that one far over its contract fills only its own.
-func (q *Queue) reasonNotToWait(now time.Time, e *entry) Reason {
+// enqueueRefusal returns why the request must not be queued, or ReasonNone. A request
+// that can't start before its deadline would wait in vain. Each customer's queue is
+// bounded, so a customer far over its contract fills only its own.
+func (q *Queue) enqueueRefusal(now time.Time, e *entry) Reason {
 	c := e.customer
 	if e.request.NoWait {
 		return ReasonBusy
 	}
-	q.dropDead(now, c)
-	lane := c.lane(e.request.Long)
-	if wait := q.wait(c, lane.ahead(e.bucket), e.request.Long); now.Add(wait).After(e.request.Deadline) {
+	q.dropExpired(now, c)
+	waiting := c.queueFor(e.request.Long)
+	if wait := q.estimateWait(c, waiting.countAhead(e.bucket), e.request.Long); now.Add(wait).After(e.request.Deadline) {
 		return ReasonDeadline
 	}
 	if c.waiting() < c.queueBound || q.displace(now, e) {
@@ -179,19 +179,19 @@
 	return ReasonQueueFull
 }
 
-// dropDead ends the customer's waiting requests that are past their deadline,
-// so that they neither fill its queue nor lengthen the estimated wait.
-func (q *Queue) dropDead(now time.Time, c *customer) {
-	for _, lane := range [...]*lane{&c.short, &c.long} {
-		for e := lane.firstDead(now); e != nil; e = lane.firstDead(now) {
+// dropExpired drops the customer's waiting requests that are past their deadline, so
+// that they neither fill its queue nor lengthen the estimated wait.
+func (q *Queue) dropExpired(now time.Time, c *customer) {
+	for _, waiting := range [...]*priorityQueue{&c.short, &c.long} {
+		for e := waiting.firstExpired(now); e != nil; e = waiting.firstExpired(now) {
 			q.drop(now, e, ReasonDeadline)
 		}
 	}
 }
 
-// displace drops the waiting request of the same customer that would be served
-// last, if that is after e: an inspector is not refused because lookups fill
-// the queue, nor an inner call because new chains do.
+// displace drops the customer's waiting request that would be served last, if it comes
+// after e. This way an inspector isn't refused because lookups fill the queue, nor an
+// inner call because new chains do. It reports whether a request was dropped.
 func (q *Queue) displace(now time.Time, e *entry) bool {
 	c := e.customer
 	last := c.short.last()
@@ -216,10 +216,10 @@
 	q.recycle(e)
 }
 
-// start gives free slots to waiting requests. One that is past its deadline is
-// dropped and never started: after a pause the queue may be full of requests
-// whose callers have gone, and the living must not wait behind their work.
-func (q *Queue) start(now time.Time) {
+// startWaiting gives free slots to waiting requests. Requests past their deadline are
+// dropped and not started: after a pause the queue may be full of requests whose callers
+// have disconnected, and the remaining requests must not wait behind them.
+func (q *Queue) startWaiting(now time.Time) {
 	for q.running < q.slots {
 		e, from := q.next(now)
 		if e == nil {
@@ -233,32 +233,32 @@
 	}
 }
 
-// next returns the request that the next free slot goes to, and the tier of its
-// customer, or nil.
+// next returns the request that gets the next free slot, and the tier of its customer,
+// or nil.
 func (q *Queue) next(now time.Time) (*entry, int) {
-	if q.slots-q.running <= q.reserved(now, &q.levels, 0) {
+	if q.slots-q.running <= q.reservedSlots(now, &q.levels, 0) {
 		return q.nextInCycle(now)
 	}
-	lentLongLeft := q.lentLong < q.lentLongBound
-	c, from := q.tiers.next(lentLongLeft)
+	mayBorrowLong := q.borrowedLong < q.borrowedLongLimit
+	c, from := q.tiers.next(mayBorrowLong)
 	if c == nil {
 		return nil, 0
 	}
-	return c.best(lentLongLeft), from
+	return c.next(mayBorrowLong), from
 }
 
 func (q *Queue) run(now time.Time, e *entry, from int) {
 	c := e.customer
 	hold := q.holdOf(c, e.request.Long)
 	if hold == 0 {
-		hold = unknownHold.Seconds()
+		hold = defaultHold.Seconds()
 	}
 	q.tiers.charge(c, from, hold)
-	q.unlist(e)
+	q.unlink(e)
 	e.running = true
 	e.started = now
-	q.hold(c, e.request.Long, 1)
-	q.tiers.place(c)
+	q.adjustHeld(c, e.request.Long, 1)
+	q.tiers.update(c)
 	q.changes.Started = append(q.changes.Started, e.request)
 }
 
@@ -272,59 +272,59 @@
 		c.shortHold.add(held)
 		q.shortHold.add(held)
 	}
-	q.hold(c, e.request.Long, -1)
-	q.tiers.place(c)
+	q.adjustHeld(c, e.request.Long, -1)
+	q.tiers.update(c)
 	q.recycle(e)
 	if !c.granted && c.held == 0 {
 		delete(q.customers, c.name)
 	}
 }
 
-// hold counts one slot more or fewer for the customer, and charges the time of
-// its fractional slot when it is given back.
-func (q *Queue) hold(c *customer, long bool, n int) {
-	q.lentLong -= c.lentLong()
+// adjustHeld adds n to the number of slots that the customer holds. When its fractional
+// slot is released, it charges the time for which the slot was held.
+func (q *Queue) adjustHeld(c *customer, long bool, n int) {
+	q.borrowedLong -= c.borrowedLong()
 	c.held += n
 	q.running += n
 	if long {
 		c.heldLong += n
 		q.runningLong += n
 	}
-	q.lentLong += c.lentLong()
-	if n > 0 && c.held == c.whole+1 {
-		c.fractionSince = q.contested
+	q.borrowedLong += c.borrowedLong()
+	if n > 0 && c.held == c.wholeSlots+1 {
+		c.fractionHeldSince = q.contendedSeconds
 	}
-	if n < 0 && c.held == c.whole && c.fraction > 0 {
-		c.fractionPass += (q.contested - c.fractionSince) / c.fraction
+	if n < 0 && c.held == c.wholeSlots && c.fraction > 0 {
+		c.fractionPass += (q.contendedSeconds - c.fractionHeldSince) / c.fraction
 	}
 }
 
 func (q *Queue) enqueue(e *entry) {
 	c := e.customer
 	if c.waiting() == 0 {
-		q.tiers.join(c)
+		q.tiers.beginWait(c)
 	}
-	c.lane(e.request.Long).push(e)
+	c.queueFor(e.request.Long).push(e)
 	q.waiting++
-	q.tiers.place(c)
+	q.tiers.update(c)
 }
 
 func (q *Queue) dequeue(e *entry) {
-	q.unlist(e)
-	q.tiers.place(e.customer)
+	q.unlink(e)
+	q.tiers.update(e.customer)
 }
 
-func (q *Queue) unlist(e *entry) {
-	e.customer.lane(e.request.Long).remove(e)
+func (q *Queue) unlink(e *entry) {
+	e.customer.queueFor(e.request.Long).remove(e)
 	q.waiting--
 }
 
 func (q *Queue) newEntry(c *customer, r Request) *entry {
-	e := q.free
+	e := q.freeList
 	if e == nil {
 		e = &entry{}
 	} else {
-		q.free = e.next
+		q.freeList = e.next
 	}
 	q.arrivals++
 	*e = entry{request: r, customer: c, arrival: q.arrivals, bucket: bucketOf(&r)}
@@ -334,6 +334,6 @@
 
 func (q *Queue) recycle(e *entry) {
 	delete(q.entries, e.request.ID)
-	*e = entry{next: q.free}
-	q.free = e
+	*e = entry{next: q.freeList}
+	q.freeList = e
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -10,92 +10,92 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// bench is a queue whose requests are named by their order.
-type bench struct {
+// fixture is a queue whose requests are numbered in the order of their arrival.
+type fixture struct {
 	t   *testing.T
 	q   *Queue
 	now time.Time
 	n   int
 }
 
-func newBench(t *testing.T, slots int, shares map[string]Share) *bench {
-	return &bench{t: t, now: start, q: NewQueue(Terms{Slots: slots, Shares: shares, QueuePerSlot: 4}, 1)}
+func newFixture(t *testing.T, slots int, shares map[string]Share) *fixture {
+	return &fixture{t: t, now: start, q: NewQueue(Terms{Slots: slots, Shares: shares, QueuePerSlot: 4}, 1)}
 }
 
-func (b *bench) offer(r Request) (string, Decision, Changes) {
-	b.n++
-	r.ID = fmt.Sprintf("r%d", b.n)
+func (f *fixture) offer(r Request) (string, Decision, Changes) {
+	f.n++
+	r.ID = fmt.Sprintf("r%d", f.n)
 	if r.Deadline.IsZero() {
-		r.Deadline = b.now.Add(10 * time.Second)
+		r.Deadline = f.now.Add(10 * time.Second)
 	}
-	decision, changes := b.q.Offer(b.now, r)
+	decision, changes := f.q.Offer(f.now, r)
 	return r.ID, decision, changes
 }
 
-func (b *bench) admit(count int, r Request) []string {
-	b.t.Helper()
+func (f *fixture) admit(count int, r Request) []string {
+	f.t.Helper()
 	var ids []string
 	for range count {
-		id, decision, _ := b.offer(r)
-		assert.Equal(b.t, decision.Verdict, Admitted, "%+v", decision)
+		id, decision, _ := f.offer(r)
+		assert.Equal(f.t, decision.Verdict, Admitted, "%+v", decision)
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-func (b *bench) enqueue(count int, r Request) []string {
-	b.t.Helper()
+func (f *fixture) enqueue(count int, r Request) []string {
+	f.t.Helper()
 	var ids []string
 	for range count {
-		id, decision, _ := b.offer(r)
-		assert.Equal(b.t, decision.Verdict, Queued, "%+v", decision)
+		id, decision, _ := f.offer(r)
+		assert.Equal(f.t, decision.Verdict, Queued, "%+v", decision)
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-func (b *bench) release(id string) []string {
+func (f *fixture) release(id string) []string {
 	var started []string
-	for _, r := range b.q.Release(b.now, id).Started {
+	for _, r := range f.q.Release(f.now, id).Started {
 		started = append(started, r.ID)
 	}
 	return started
 }
 
-func halves() map[string]Share {
+func equalShares() map[string]Share {
 	return map[string]Share{"a": {Guaranteed: 0.5, Limit: 1}, "b": {Guaranteed: 0.5, Limit: 1}}
 }
 
-// A customer that was idle comes back while another has borrowed all its slots
-// and has more waiting. Every slot that falls free goes to the one that came
-// back, until it has its guarantee, though its requests came last.
+// A customer that was idle sends requests while another has borrowed all its slots and
+// has more requests waiting. The customer must get every slot that becomes free until it
+// has its guarantee, though its requests came last.
 func TestLentSlotReturnsWithNextFreeSlot(t *testing.T) {
-	b := newBench(t, 4, halves())
-	borrowed := b.admit(4, Request{Customer: "a"})
-	b.enqueue(4, Request{Customer: "a"})
-	owed := b.enqueue(2, Request{Customer: "b"})
-	assert.DeepEqual(t, b.release(borrowed[0]), owed[:1])
-	assert.DeepEqual(t, b.release(borrowed[1]), owed[1:])
+	f := newFixture(t, 4, equalShares())
+	borrowed := f.admit(4, Request{Customer: "a"})
+	f.enqueue(4, Request{Customer: "a"})
+	waiting := f.enqueue(2, Request{Customer: "b"})
+	assert.DeepEqual(t, f.release(borrowed[0]), waiting[:1])
+	assert.DeepEqual(t, f.release(borrowed[1]), waiting[1:])
 }
 
-// Three shares of 0.4, 0.35 and 0.25 of two slots are 0.8, 0.7 and 0.5 slots.
-// Whole slots can't give any of them its part at once, so the slots must pass
-// from one to the other: over time each gets its part and none starves.
+// Shares of 0.4, 0.35 and 0.25 of two slots are 0.8, 0.7 and 0.5 slots. Whole slots
+// can't give all three customers their parts at the same time, so the slots must
+// alternate between them: over time each customer gets its part and none starves.
 func TestSharesUnderOneSlotAreKeptOverTime(t *testing.T) {
 	shares := map[string]Share{"a": {Guaranteed: 0.4, Limit: 1}, "b": {Guaranteed: 0.35, Limit: 1}, "c": {Guaranteed: 0.25, Limit: 1}}
-	b := newBench(t, 2, shares)
+	f := newFixture(t, 2, shares)
 	var running []Request
 	served := map[string]int{}
 	const rounds = 4000
 	for range rounds {
 		for _, customer := range []string{"a", "b", "c"} {
-			if id, decision, _ := b.offer(Request{Customer: customer}); decision.Verdict == Admitted {
+			if id, decision, _ := f.offer(Request{Customer: customer}); decision.Verdict == Admitted {
 				running = append(running, Request{ID: id, Customer: customer})
 			}
 		}
-		b.now = b.now.Add(100 * time.Millisecond)
+		f.now = f.now.Add(100 * time.Millisecond)
 		served[running[0].Customer]++
-		running = append(running[1:], b.q.Release(b.now, running[0].ID).Started...)
+		running = append(running[1:], f.q.Release(f.now, running[0].ID).Started...)
 	}
 	for customer, share := range shares {
 		part := float64(served[customer]) / rounds
@@ -103,29 +103,29 @@
 	}
 }
 
-// For an hour one customer holds three slots of which one and a half are its
-// own, while nobody else wants them. Then another claims its part. Both get
-// their halves of the slot between them from then on: use of what was idle is
-// not held against anyone later.
+// One customer holds three slots for an hour, of which one and a half are its own, while
+// nobody else needs them. Then another customer claims its part. From then on each must
+// get its half of the shared slot: use of idle slots must not count against a customer
+// later.
 func TestUseOfIdleSlotsIsNotHeldAgainstACustomer(t *testing.T) {
-	b := newBench(t, 3, halves())
-	running := b.admit(3, Request{Customer: "a"})
+	f := newFixture(t, 3, equalShares())
+	running := f.admit(3, Request{Customer: "a"})
 	customer := map[string]string{}
 	served := map[string]int{}
 	turn := func() {
-		b.now = b.now.Add(100 * time.Millisecond)
-		started := b.release(running[0])
+		f.now = f.now.Add(100 * time.Millisecond)
+		started := f.release(running[0])
 		running = append(running[1:], started...)
 		served[customer[started[0]]]++
 	}
 	for range 36_000 {
-		b.enqueue(1, Request{Customer: "a"})
+		f.enqueue(1, Request{Customer: "a"})
 		turn()
 	}
 	clear(served)
 	for range 600 {
 		for _, name := range []string{"a", "b"} {
-			id, _, _ := b.offer(Request{Customer: name})
+			id, _, _ := f.offer(Request{Customer: name})
 			customer[id] = name
 		}
 		turn()
@@ -133,239 +133,238 @@
 	assert.Check(t, served["a"] >= 290 && served["b"] >= 290, "%v", served)
 }
 
-// One customer sends twenty times what another does and fills its own queue. The
-// other's request still finds room, since each customer's queue is bounded.
+// One customer sends twenty times as much as another and fills its own queue. The
+// other's request must still be queued, since each customer's queue is bounded.
 func TestOneCustomerCannotFillTheQueueForOthers(t *testing.T) {
-	b := newBench(t, 4, halves())
-	b.admit(4, Request{Customer: "a"})
-	b.enqueue(8, Request{Customer: "a"})
-	_, refused, _ := b.offer(Request{Customer: "a"})
+	f := newFixture(t, 4, equalShares())
+	f.admit(4, Request{Customer: "a"})
+	f.enqueue(8, Request{Customer: "a"})
+	_, refused, _ := f.offer(Request{Customer: "a"})
 	assert.Equal(t, refused.Reason, ReasonQueueFull)
-	b.enqueue(1, Request{Customer: "b"})
+	f.enqueue(1, Request{Customer: "b"})
 }
 
-// A customer at its limit waits although slots are free, and the reason for
-// refusing more is its limit.
+// A customer at its limit must wait although slots are free, and further requests must
+// be refused because of the limit.
 func TestLimitIsNeverPassed(t *testing.T) {
-	b := newBench(t, 4, map[string]Share{"a": {Guaranteed: 0.25, Limit: 0.5}})
-	first := b.admit(2, Request{Customer: "a"})
-	waiting := b.enqueue(4, Request{Customer: "a"})
-	_, refused, _ := b.offer(Request{Customer: "a"})
+	f := newFixture(t, 4, map[string]Share{"a": {Guaranteed: 0.25, Limit: 0.5}})
+	first := f.admit(2, Request{Customer: "a"})
+	waiting := f.enqueue(4, Request{Customer: "a"})
+	_, refused, _ := f.offer(Request{Customer: "a"})
 	assert.Equal(t, refused.Reason, ReasonLimit)
-	assert.DeepEqual(t, b.release(first[0]), waiting[:1])
+	assert.DeepEqual(t, f.release(first[0]), waiting[:1])
 }
 
-// Lookups of the same contract fill the queue when an inspector comes. The last
-// lookup is dropped at once, as not run, and the inspector is served next.
+// Lookups of a contract fill the queue when an inspector of the same contract arrives.
+// The last lookup must be dropped at once without having run, and the inspector is
+// served next.
 func TestEarlierClassDisplacesLaterClass(t *testing.T) {
-	b := newBench(t, 2, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
-	running := b.admit(2, Request{Customer: "a", Rank: 1})
-	lookups := b.enqueue(8, Request{Customer: "a", Rank: 1})
-	inspector, decision, changes := b.offer(Request{Customer: "a", Rank: 0})
+	f := newFixture(t, 2, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
+	running := f.admit(2, Request{Customer: "a", Rank: 1})
+	lookups := f.enqueue(8, Request{Customer: "a", Rank: 1})
+	inspector, decision, changes := f.offer(Request{Customer: "a", Rank: 0})
 	assert.Equal(t, decision.Verdict, Queued)
 	assert.Equal(t, len(changes.Dropped), 1)
 	assert.Equal(t, changes.Dropped[0].Request.ID, lookups[7])
 	assert.Equal(t, changes.Dropped[0].Reason, ReasonQueueFull)
 	assert.Check(t, changes.Dropped[0].RetryAfter > 0)
-	assert.DeepEqual(t, b.release(running[0]), []string{inspector})
+	assert.DeepEqual(t, f.release(running[0]), []string{inspector})
 }
 
-// New chains and inner calls of older chains compete at one target that is
-// overloaded. Inner calls are served first, and when the queue is full it is a
-// new chain that is dropped: the work that inner calls stand for is already
-// paid for.
+// New chains and inner calls of older chains compete for one overloaded target. Inner
+// calls must be served first, and when the queue is full, a new chain must be dropped:
+// work has already been spent on the chains of inner calls.
 func TestDeeperCallsGoFirstAndOverloadIsRefusedAtTheEdge(t *testing.T) {
-	b := newBench(t, 1, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
-	running := b.admit(1, Request{Customer: "a"})
-	edge := b.enqueue(4, Request{Customer: "a"})
-	inner, decision, changes := b.offer(Request{Customer: "a", Depth: 5})
+	f := newFixture(t, 1, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
+	running := f.admit(1, Request{Customer: "a"})
+	edge := f.enqueue(4, Request{Customer: "a"})
+	inner, decision, changes := f.offer(Request{Customer: "a", Depth: 5})
 	assert.Equal(t, decision.Verdict, Queued)
 	assert.Equal(t, changes.Dropped[0].Request.ID, edge[3])
-	assert.DeepEqual(t, b.release(running[0]), []string{inner})
+	assert.DeepEqual(t, f.release(running[0]), []string{inner})
 }
 
-// Two outer calls hold both slots of a target, and each waits for an inner call
-// that needs a slot of the same target. Nothing can run until an outer call
-// ends at its deadline; then its slot goes to an inner call and not to one of
-// the new chains that came before it, so the cycle dissolves.
-func TestCycleDissolvesWhenAnOuterCallEnds(t *testing.T) {
-	b := newBench(t, 2, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
-	outer := b.admit(2, Request{Customer: "a"})
-	b.enqueue(3, Request{Customer: "a"})
-	inner := b.enqueue(2, Request{Customer: "a", Depth: 1})
-	b.now = b.now.Add(2 * time.Second)
-	assert.DeepEqual(t, b.release(outer[0]), inner[:1])
+// Two outer calls hold both slots of a target, and each waits for an inner call that
+// needs a slot of the same target. No request can run until an outer call ends at its
+// deadline. Its slot must then go to an inner call, not to one of the new chains that
+// were queued earlier, so that the deadlock ends.
+func TestCycleEndsWhenAnOuterCallEnds(t *testing.T) {
+	f := newFixture(t, 2, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
+	outer := f.admit(2, Request{Customer: "a"})
+	f.enqueue(3, Request{Customer: "a"})
+	inner := f.enqueue(2, Request{Customer: "a", Depth: 1})
+	f.now = f.now.Add(2 * time.Second)
+	assert.DeepEqual(t, f.release(outer[0]), inner[:1])
 }
 
-// Chains come back to the service that they hold a slot of. New chains must not
-// take the last slot: were all held by outer calls, no inner call could run and
-// nothing would end before its deadline. Once such chains have stopped coming,
-// nothing is kept back.
+// Chains return to a service of which they hold a slot. New chains must not take the
+// last slot: if outer calls held all slots, no inner call could run and no request would
+// end before its deadline. Once no such chains arrive anymore, no slot is reserved.
 func TestCycleFindsAReservedSlot(t *testing.T) {
-	b := newBench(t, 3, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
-	outer := b.admit(1, Request{Customer: "a"})
-	inner := b.admit(1, Request{Customer: "a", Depth: 1, Revisits: 1})
-	b.release(inner[0])
-	b.admit(1, Request{Customer: "a"})
-	chain := b.enqueue(1, Request{Customer: "a", Deadline: b.now.Add(time.Minute)})
-	inner = b.admit(1, Request{Customer: "a", Depth: 1, Revisits: 1})
-	assert.Equal(t, len(b.release(inner[0])), 0, "the slot is kept for the next inner call")
-	b.now = b.now.Add(2 * revisitMemory)
-	assert.DeepEqual(t, b.release(outer[0]), chain)
-	b.admit(1, Request{Customer: "a"})
+	f := newFixture(t, 3, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
+	outer := f.admit(1, Request{Customer: "a"})
+	inner := f.admit(1, Request{Customer: "a", Depth: 1, Revisits: 1})
+	f.release(inner[0])
+	f.admit(1, Request{Customer: "a"})
+	chain := f.enqueue(1, Request{Customer: "a", Deadline: f.now.Add(time.Minute)})
+	inner = f.admit(1, Request{Customer: "a", Depth: 1, Revisits: 1})
+	assert.Equal(t, len(f.release(inner[0])), 0, "the slot is reserved for the next inner call")
+	f.now = f.now.Add(2 * revisitWindow)
+	assert.DeepEqual(t, f.release(outer[0]), chain)
+	f.admit(1, Request{Customer: "a"})
 }
 
-// Archives may borrow only a bounded part of what others are guaranteed, so the
-// short requests of a customer that comes back find the rest at once. Slots
-// that nobody is guaranteed are lent to archives freely.
+// Archives may borrow only a bounded part of the slots guaranteed to others, so that
+// short requests of a customer that resumes get the rest at once. Slots that are
+// guaranteed to nobody can be borrowed by archives without a bound.
 func TestLongRequestsBorrowABoundedPart(t *testing.T) {
-	b := newBench(t, 8, nil)
-	b.q.Configure(b.now, Terms{Slots: 8, QueuePerSlot: 4, LongBorrowLimit: 0.25, Shares: map[string]Share{
+	f := newFixture(t, 8, nil)
+	f.q.Configure(f.now, Terms{Slots: 8, QueuePerSlot: 4, LongBorrowLimit: 0.25, Shares: map[string]Share{
 		"a": {Guaranteed: 0.25, Limit: 1}, "b": {Guaranteed: 0.5, Limit: 1},
 	}})
-	b.admit(6, Request{Customer: "a", Long: true})
-	b.enqueue(1, Request{Customer: "a", Long: true})
-	b.admit(2, Request{Customer: "b"})
+	f.admit(6, Request{Customer: "a", Long: true})
+	f.enqueue(1, Request{Customer: "a", Long: true})
+	f.admit(2, Request{Customer: "b"})
 }
 
-// A customer's own archives leave room for its own short requests.
+// A customer's own archives must leave slots for its short requests.
 func TestLongLimitLeavesRoomForTheCustomersOwnShortRequests(t *testing.T) {
-	b := newBench(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1, LongLimit: 0.5}})
-	b.admit(2, Request{Customer: "a", Long: true})
-	b.enqueue(2, Request{Customer: "a", Long: true})
-	b.admit(2, Request{Customer: "a", Rank: 1})
+	f := newFixture(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1, LongLimit: 0.5}})
+	f.admit(2, Request{Customer: "a", Long: true})
+	f.enqueue(2, Request{Customer: "a", Long: true})
+	f.admit(2, Request{Customer: "a", Rank: 1})
 }
 
-// The target loses half its slots while all run and more wait. Nothing that
-// runs is cut, nothing starts until the excess has ended, and what waits is
-// neither lost nor doubled.
+// The target loses half its slots while all are in use and more requests wait. Running
+// requests must not be cut, no request may start until the excess has ended, and waiting
+// requests must be neither lost nor duplicated.
 func TestHalfTheSlotsLost(t *testing.T) {
-	b := newBench(t, 4, halves())
-	running := append(b.admit(2, Request{Customer: "a"}), b.admit(2, Request{Customer: "b"})...)
-	waiting := append(b.enqueue(2, Request{Customer: "a"}), b.enqueue(2, Request{Customer: "b"})...)
-	changes := b.q.Configure(b.now, Terms{Slots: 2, QueuePerSlot: 4, Shares: halves()})
+	f := newFixture(t, 4, equalShares())
+	running := append(f.admit(2, Request{Customer: "a"}), f.admit(2, Request{Customer: "b"})...)
+	waiting := append(f.enqueue(2, Request{Customer: "a"}), f.enqueue(2, Request{Customer: "b"})...)
+	changes := f.q.Configure(f.now, Terms{Slots: 2, QueuePerSlot: 4, Shares: equalShares()})
 	assert.Equal(t, len(changes.Started)+len(changes.Dropped), 0)
-	assert.Equal(t, b.q.Running(), 4)
-	assert.Equal(t, len(b.release(running[0])), 0)
-	assert.Equal(t, len(b.release(running[2])), 0)
-	started := append(b.release(running[1]), b.release(running[3])...)
+	assert.Equal(t, f.q.Running(), 4)
+	assert.Equal(t, len(f.release(running[0])), 0)
+	assert.Equal(t, len(f.release(running[2])), 0)
+	started := append(f.release(running[1]), f.release(running[3])...)
 	assert.DeepEqual(t, started, []string{waiting[0], waiting[2]})
-	assert.Equal(t, b.q.Waiting(), 2)
+	assert.Equal(t, f.q.Waiting(), 2)
 }
 
-// A new version takes a customer's grant away while its requests wait and run.
-// The waiting ones end at once as not run; what runs is left to finish.
+// A new version withdraws a customer's grant while its requests wait and run. The
+// waiting requests must be dropped at once as not run; running requests finish.
 func TestWithdrawnGrantEndsWaitingRequests(t *testing.T) {
-	b := newBench(t, 2, halves())
-	running := b.admit(2, Request{Customer: "a"})
-	b.enqueue(2, Request{Customer: "a"})
-	changes := b.q.Configure(b.now, Terms{Slots: 2, QueuePerSlot: 4, Shares: map[string]Share{"b": {Guaranteed: 1, Limit: 1}}})
+	f := newFixture(t, 2, equalShares())
+	running := f.admit(2, Request{Customer: "a"})
+	f.enqueue(2, Request{Customer: "a"})
+	changes := f.q.Configure(f.now, Terms{Slots: 2, QueuePerSlot: 4, Shares: map[string]Share{"b": {Guaranteed: 1, Limit: 1}}})
 	assert.Equal(t, len(changes.Dropped), 2)
 	assert.Equal(t, changes.Dropped[0].Reason, ReasonNoGrant)
-	assert.Equal(t, b.q.Running(), 2)
-	other := b.enqueue(1, Request{Customer: "b"})
-	assert.DeepEqual(t, b.release(running[0]), other)
-	b.release(running[1])
-	assert.Equal(t, len(b.q.customers), 1)
+	assert.Equal(t, f.q.Running(), 2)
+	other := f.enqueue(1, Request{Customer: "b"})
+	assert.DeepEqual(t, f.release(running[0]), other)
+	f.release(running[1])
+	assert.Equal(t, len(f.q.customers), 1)
 }
 
-// The process sleeps for a minute with a full queue and wakes: every caller of
-// the queue has gone. None of their requests is started; the slot goes to the
-// one request that is still wanted.
+// The process is suspended for a minute with a full queue, and the callers of most
+// waiting requests have disconnected by the time it resumes. None of these requests may
+// start; the slot must go to the one request that is still within its deadline.
 func TestWakingQueueStartsNoDeadRequest(t *testing.T) {
-	b := newBench(t, 1, halves())
-	id := b.admit(1, Request{Customer: "a"})[0]
-	b.enqueue(4, Request{Customer: "a", Deadline: b.now.Add(2 * time.Second)})
-	living := b.enqueue(1, Request{Customer: "b", Deadline: b.now.Add(2 * time.Minute)})
-	b.now = b.now.Add(time.Minute)
-	changes := b.q.Release(b.now, id)
+	f := newFixture(t, 1, equalShares())
+	id := f.admit(1, Request{Customer: "a"})[0]
+	f.enqueue(4, Request{Customer: "a", Deadline: f.now.Add(2 * time.Second)})
+	live := f.enqueue(1, Request{Customer: "b", Deadline: f.now.Add(2 * time.Minute)})
+	f.now = f.now.Add(time.Minute)
+	changes := f.q.Release(f.now, id)
 	assert.Equal(t, len(changes.Started), 1)
-	assert.Equal(t, changes.Started[0].ID, living[0])
-	b.release(living[0])
-	assert.Equal(t, b.q.Waiting(), 0)
+	assert.Equal(t, changes.Started[0].ID, live[0])
+	f.release(live[0])
+	assert.Equal(t, f.q.Waiting(), 0)
 }
 
-// A full queue of dead requests is no reason to refuse a living one.
-func TestDeadRequestsDoNotFillTheQueue(t *testing.T) {
-	b := newBench(t, 1, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
-	b.admit(1, Request{Customer: "a"})
-	b.enqueue(4, Request{Customer: "a", Deadline: b.now.Add(time.Second)})
-	b.now = b.now.Add(time.Minute)
-	_, decision, changes := b.offer(Request{Customer: "a"})
+// A queue full of expired requests must not cause a new request to be refused.
+func TestExpiredRequestsDoNotFillTheQueue(t *testing.T) {
+	f := newFixture(t, 1, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
+	f.admit(1, Request{Customer: "a"})
+	f.enqueue(4, Request{Customer: "a", Deadline: f.now.Add(time.Second)})
+	f.now = f.now.Add(time.Minute)
+	_, decision, changes := f.offer(Request{Customer: "a"})
 	assert.Equal(t, decision.Verdict, Queued)
 	assert.Equal(t, len(changes.Dropped), 4)
 }
 
-// Callers hang up while their requests wait. Each is taken out once, and the
-// slot goes to one who still waits.
-func TestVanishedCallersLeaveTheQueue(t *testing.T) {
-	b := newBench(t, 1, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
-	id := b.admit(1, Request{Customer: "a"})[0]
-	waiting := b.enqueue(3, Request{Customer: "a"})
-	assert.Check(t, b.q.Cancel(waiting[0]))
-	assert.Check(t, !b.q.Cancel(waiting[0]))
-	assert.Check(t, !b.q.Cancel(id), "a running request is not in the queue")
-	assert.DeepEqual(t, b.release(id), waiting[1:2])
+// Callers disconnect while their requests wait. Each request must be removed once, and
+// the slot must go to a request that still waits.
+func TestCanceledRequestsLeaveTheQueue(t *testing.T) {
+	f := newFixture(t, 1, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
+	id := f.admit(1, Request{Customer: "a"})[0]
+	waiting := f.enqueue(3, Request{Customer: "a"})
+	assert.Check(t, f.q.Cancel(waiting[0]))
+	assert.Check(t, !f.q.Cancel(waiting[0]))
+	assert.Check(t, !f.q.Cancel(id), "a running request is not in the queue")
+	assert.DeepEqual(t, f.release(id), waiting[1:2])
 }
 
-// The target reports free slots but sheds: it has lost half its capacity. The
-// node learns it from the sheds alone, stops sending more than the target
-// takes, and tries one slot more for each quiet second.
+// The target reports free slots but sheds, since it has lost half its capacity. The node
+// must detect this from the sheds alone, stop sending more than the target accepts, and
+// restore one slot for each second without a shed.
 func TestShedsLowerTheSlotsForAWhile(t *testing.T) {
-	b := newBench(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
-	ids := b.admit(4, Request{Customer: "a"})
+	f := newFixture(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
+	ids := f.admit(4, Request{Customer: "a"})
 	for _, id := range ids[2:] {
-		b.q.Shed(b.now)
-		b.release(id)
+		f.q.Shed(f.now)
+		f.release(id)
 	}
-	assert.Equal(t, b.q.Slots(), 2)
-	waiting := b.enqueue(2, Request{Customer: "a"})
-	b.now = b.now.Add(shedRecovery)
-	assert.DeepEqual(t, b.release(ids[0]), waiting)
-	b.now = b.now.Add(5 * shedRecovery)
-	b.release(ids[1])
-	assert.Equal(t, b.q.Slots(), 4)
+	assert.Equal(t, f.q.Slots(), 2)
+	waiting := f.enqueue(2, Request{Customer: "a"})
+	f.now = f.now.Add(shedRecovery)
+	assert.DeepEqual(t, f.release(ids[0]), waiting)
+	f.now = f.now.Add(5 * shedRecovery)
+	f.release(ids[1])
+	assert.Equal(t, f.q.Slots(), 4)
 }
 
-// A target sheds while an archive runs and a short request waits, and is well a
-// second later. Nobody comes and nothing ends; the waiting request must get the
-// slot all the same, and not when the archive ends.
-func TestSlotThatComesBackIsNotLeftIdle(t *testing.T) {
-	b := newBench(t, 2, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
-	b.admit(1, Request{Customer: "a", Long: true})
-	shed := b.admit(1, Request{Customer: "a"})[0]
-	b.q.Shed(b.now)
-	b.release(shed)
-	waiting := b.enqueue(1, Request{Customer: "a"})
-	assert.Equal(t, len(b.q.Tick(b.now).Started), 0)
-	b.now = b.now.Add(shedRecovery)
-	started := b.q.Tick(b.now).Started
+// A target sheds while an archive runs and a short request waits, and recovers a second
+// later. No request arrives or ends. The waiting request must still get the restored
+// slot at once, not when the archive ends.
+func TestRestoredSlotIsUsedAtOnce(t *testing.T) {
+	f := newFixture(t, 2, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
+	f.admit(1, Request{Customer: "a", Long: true})
+	shed := f.admit(1, Request{Customer: "a"})[0]
+	f.q.Shed(f.now)
+	f.release(shed)
+	waiting := f.enqueue(1, Request{Customer: "a"})
+	assert.Equal(t, len(f.q.Tick(f.now).Started), 0)
+	f.now = f.now.Add(shedRecovery)
+	started := f.q.Tick(f.now).Started
 	assert.Equal(t, len(started), 1)
 	assert.Equal(t, started[0].ID, waiting[0])
 }
 
-// An id that is already known is refused: releasing one of two would free a
-// slot that the other still holds.
-func TestKnownIDIsRefused(t *testing.T) {
-	b := newBench(t, 2, halves())
+// A request ID that is already known must be refused: releasing one of the two requests
+// would free a slot that the other still holds.
+func TestDuplicateIDIsRefused(t *testing.T) {
+	f := newFixture(t, 2, equalShares())
 	r := Request{ID: "same", Customer: "a", Deadline: start.Add(time.Minute)}
-	first, _ := b.q.Offer(b.now, r)
-	second, _ := b.q.Offer(b.now, r)
+	first, _ := f.q.Offer(f.now, r)
+	second, _ := f.q.Offer(f.now, r)
 	assert.Equal(t, first.Verdict, Admitted)
 	assert.Equal(t, second.Reason, ReasonDuplicate)
 }
 
-// A customer's caller claims a chain that comes back to the service three times.
-// Slots kept for inner calls that never come would be taken from everybody; they
-// are kept from that customer's own shallower calls alone.
+// A caller claims a chain that returns to the service three times, but its inner calls
+// never come. Slots reserved for them must be withheld only from shallower calls of the
+// same customer, not from other customers.
 func TestFalseChainCostsOnlyItsCustomer(t *testing.T) {
-	b := newBench(t, 4, map[string]Share{"honest": {Guaranteed: 0.5, Limit: 1}, "false": {Guaranteed: 0.5, Limit: 1}})
-	claim := b.admit(1, Request{Customer: "false", Depth: 3, Revisits: 3})
-	b.release(claim[0])
-	held := b.admit(4, Request{Customer: "honest"})
-	b.enqueue(1, Request{Customer: "false"})
+	f := newFixture(t, 4, map[string]Share{"honest": {Guaranteed: 0.5, Limit: 1}, "false": {Guaranteed: 0.5, Limit: 1}})
+	claim := f.admit(1, Request{Customer: "false", Depth: 3, Revisits: 3})
+	f.release(claim[0])
+	held := f.admit(4, Request{Customer: "honest"})
+	f.enqueue(1, Request{Customer: "false"})
 	for _, id := range held[:2] {
-		assert.Equal(t, len(b.release(id)), 0, "two slots are kept from the customer that claimed them")
+		assert.Equal(t, len(f.release(id)), 0, "two slots are withheld from the customer that claimed the chain")
 	}
-	assert.Equal(t, len(b.release(held[2])), 1)
+	assert.Equal(t, len(f.release(held[2])), 1)
 }
--- a/internal/admission/terms.go
+++ b/internal/admission/terms.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// shedRecovery is how long the target must go without shedding before it is
-// given one slot more.
+// shedRecovery is how long the target must go without shedding before one slot is
+// restored.
 const shedRecovery = time.Second
 
-// Configure takes new terms. Running requests are never cut; when fewer slots
-// are left than requests run, none starts until enough have ended. Waiting
-// requests stay, but those of customers without a grant are dropped.
+// Configure applies new terms. Running requests are never cut: if more requests run than
+// there are slots left, none starts until enough have ended. Waiting requests stay
+// queued, except those of customers without a grant, which are dropped.
 func (q *Queue) Configure(now time.Time, terms Terms) Changes {
 	q.begin(now)
-	q.adopt(terms)
+	q.applyTerms(terms)
 	for _, name := range slices.Sorted(maps.Keys(q.customers)) {
 		if c := q.customers[name]; !c.granted {
 			q.dropAll(now, c)
 		}
 	}
-	q.start(now)
+	q.startWaiting(now)
 	return q.changes
 }
 
 func (q *Queue) dropAll(now time.Time, c *customer) {
-	for _, lane := range []*lane{&c.short, &c.long} {
-		for e := lane.first(); e != nil; e = lane.first() {
+	for _, waiting := range []*priorityQueue{&c.short, &c.long} {
+		for e := waiting.first(); e != nil; e = waiting.first() {
 			q.drop(now, e, ReasonNoGrant)
 		}
 	}
@@ -36,11 +36,11 @@
 	}
 }
 
-func (q *Queue) adopt(terms Terms) {
+func (q *Queue) applyTerms(terms Terms) {
 	slots := terms.Slots
 	if terms.Slots == q.terms.Slots {
-		// A change elsewhere in the configuration is no reason to forget
-		// what sheds have shown.
+		// Keep the slots lowered by sheds if only other parts of the configuration
+		// changed.
 		slots = q.slots
 	}
 	q.terms = terms
@@ -53,12 +53,13 @@
 	q.resize(slots)
 }
 
-// resize derives every customer's part from the number of slots.
+// resize recomputes the guarantees and limits of all customers from the number of slots.
 func (q *Queue) resize(slots int) {
 	q.slots = slots
-	q.lentLong = 0
+	q.borrowedLong = 0
 	claimed := 0.0
-	// The order must not depend on the map: it decides equal keys' places.
+	// Sorted, so that the order doesn't depend on the map: it determines the heap
+	// positions of customers with equal keys.
 	for _, name := range slices.Sorted(maps.Keys(q.customers)) {
 		c := q.customers[name]
 		if share, ok := q.terms.Shares[name]; ok {
@@ -67,37 +68,37 @@
 		} else {
 			c.revoke()
 		}
-		c.fractionSince = q.contested
-		q.lentLong += c.lentLong()
-		q.tiers.place(c)
+		c.fractionHeldSince = q.contendedSeconds
+		q.borrowedLong += c.borrowedLong()
+		q.tiers.update(c)
 	}
-	q.lentLongBound = FloorSlots(q.terms.LongBorrowLimit, slots) + FloorSlots(max(1-claimed, 0), slots)
+	q.borrowedLongLimit = FloorSlots(q.terms.LongBorrowLimit, slots) + FloorSlots(max(1-claimed, 0), slots)
 }
 
-// Shed says that the target turned a request away although the node had counted
-// a free slot for it. Load reports may lie low, but a shed is a fact: the target
-// takes fewer than run now. The node then counts with that number, and one slot
-// more for each quiet shedRecovery, so that the target is not flooded again.
-// The shed request itself must be released as usual.
+// Shed records that the target refused a request although the node counted a free slot
+// for it. Load reports may be too low, but a shed proves that the target accepts fewer
+// requests than run now. The node limits itself to that number, and restores one slot
+// for each shedRecovery without a shed, so that the target is not flooded again. The
+// shed request itself must still be released.
 func (q *Queue) Shed(now time.Time) Changes {
 	q.begin(now)
-	proven := max(q.running-1, 1)
-	if proven < q.slots {
-		q.resize(proven)
+	accepted := max(q.running-1, 1)
+	if accepted < q.slots {
+		q.resize(accepted)
 	}
-	q.slotsSince = now
+	q.slotsChangedAt = now
 	return q.changes
 }
 
-// recoverSlots gives back slots that sheds have taken.
+// recoverSlots restores slots that were removed after sheds.
 func (q *Queue) recoverSlots(now time.Time) {
 	if q.slots >= q.terms.Slots {
 		return
 	}
-	quiet := int(now.Sub(q.slotsSince) / shedRecovery)
-	if quiet < 1 {
+	steps := int(now.Sub(q.slotsChangedAt) / shedRecovery)
+	if steps < 1 {
 		return
 	}
-	q.slotsSince = q.slotsSince.Add(time.Duration(quiet) * shedRecovery)
-	q.resize(min(q.slots+quiet, q.terms.Slots))
+	q.slotsChangedAt = q.slotsChangedAt.Add(time.Duration(steps) * shedRecovery)
+	q.resize(min(q.slots+steps, q.terms.Slots))
 }
--- a/internal/admission/tiers.go
+++ b/internal/admission/tiers.go
@@ -2,21 +2,21 @@
 
 import "container/heap"
 
-// The heaps that order customers with eligible requests. A free slot goes to a
-// customer that lacks a whole guaranteed slot, then to one that lacks a part of
-// a slot, then it is lent.
+// Heaps of customers with eligible requests. A free slot goes to a customer that lacks a
+// whole guaranteed slot, then to one that lacks its fractional slot; otherwise it is
+// borrowed.
 const (
-	heapBelow = iota
+	heapGuaranteed = iota
 	heapFraction
-	heapLent
-	heapLentLong
+	heapBorrowed
+	heapBorrowedLong
 	heapCount
 )
 
 const notInHeap = -1
 
-// customerHeap is a heap of customers by a key that changes only with events of
-// the customer itself, so that one event costs O(log customers).
+// customerHeap orders customers by a key that changes only with events of the customer
+// itself, so that one event costs O(log customers).
 type customerHeap struct {
 	kind  int
 	items []*customer
@@ -26,12 +26,12 @@
 
 func (h *customerHeap) key(c *customer) float64 {
 	switch h.kind {
-	case heapBelow:
+	case heapGuaranteed:
 		return float64(c.held) / c.guaranteed
 	case heapFraction:
 		return c.fractionPass
 	}
-	return c.lentPass
+	return c.borrowedPass
 }
 
 func (h *customerHeap) Len() int { return len(h.items) }
@@ -74,8 +74,8 @@
 	return h.items[0]
 }
 
-// set puts the customer into the heap, moves it to its place or takes it out.
-func (h *customerHeap) set(c *customer, in bool) {
+// update adds the customer to the heap, moves it to its new position or removes it.
+func (h *customerHeap) update(c *customer, in bool) {
 	position := c.position[h.kind]
 	switch {
 	case in && position == notInHeap:
@@ -90,10 +90,11 @@
 // tiers holds all heaps of one target.
 type tiers struct {
 	heaps [heapCount]customerHeap
-	// fractionTime and lentTime are the virtual times that a customer starts
-	// from when it begins to wait, so that it saves up nothing while idle.
-	fractionTime float64
-	lentTime     float64
+	// fractionVirtualTime and borrowedVirtualTime are the virtual times from which a
+	// customer starts when it begins to wait, so that it accumulates no credit while
+	// idle.
+	fractionVirtualTime float64
+	borrowedVirtualTime float64
 }
 
 func newTiers() tiers {
@@ -104,52 +105,53 @@
 	return t
 }
 
-// place puts the customer where its held slots and waiting requests belong.
-func (t *tiers) place(c *customer) {
-	longOK, lentLong := c.mayRunLong()
+// update puts the customer into the heaps that match its held slots and waiting
+// requests.
+func (t *tiers) update(c *customer) {
+	longOK, borrowLong := c.canStartLong()
 	eligible := c.held < c.limit && (c.short.count > 0 || longOK)
 	tier := c.tier()
-	lent := tier == heapLent
-	t.heaps[heapBelow].set(c, eligible && tier == heapBelow)
-	t.heaps[heapFraction].set(c, eligible && tier == heapFraction)
-	t.heaps[heapLent].set(c, eligible && lent && (c.short.count > 0 || longOK && !lentLong))
-	t.heaps[heapLentLong].set(c, eligible && lent && longOK && lentLong)
+	borrowed := tier == heapBorrowed
+	t.heaps[heapGuaranteed].update(c, eligible && tier == heapGuaranteed)
+	t.heaps[heapFraction].update(c, eligible && tier == heapFraction)
+	t.heaps[heapBorrowed].update(c, eligible && borrowed && (c.short.count > 0 || longOK && !borrowLong))
+	t.heaps[heapBorrowedLong].update(c, eligible && borrowed && longOK && borrowLong)
 }
 
-// next returns the customer that the next free slot goes to, and the heap that
-// it was found in, or nil.
-func (t *tiers) next(lentLongLeft bool) (*customer, int) {
-	if c := t.heaps[heapBelow].top(); c != nil {
-		return c, heapBelow
+// next returns the customer that gets the next free slot, or nil, and the heap in which
+// it was found.
+func (t *tiers) next(mayBorrowLong bool) (*customer, int) {
+	if c := t.heaps[heapGuaranteed].top(); c != nil {
+		return c, heapGuaranteed
 	}
 	if c := t.heaps[heapFraction].top(); c != nil {
 		return c, heapFraction
 	}
-	short := t.heaps[heapLent].top()
-	if !lentLongLeft {
-		return short, heapLent
+	short := t.heaps[heapBorrowed].top()
+	if !mayBorrowLong {
+		return short, heapBorrowed
 	}
-	long := t.heaps[heapLentLong].top()
-	if short == nil || long != nil && long.lentPass < short.lentPass {
-		return long, heapLentLong
+	long := t.heaps[heapBorrowedLong].top()
+	if short == nil || long != nil && long.borrowedPass < short.borrowedPass {
+		return long, heapBorrowedLong
 	}
-	return short, heapLent
+	return short, heapBorrowed
 }
 
-// join sets the virtual times of a customer that begins to wait.
-func (t *tiers) join(c *customer) {
-	c.fractionPass = max(c.fractionPass, t.fractionTime)
-	c.lentPass = max(c.lentPass, t.lentTime)
+// beginWait sets the virtual times of a customer that begins to wait.
+func (t *tiers) beginWait(c *customer) {
+	c.fractionPass = max(c.fractionPass, t.fractionVirtualTime)
+	c.borrowedPass = max(c.borrowedPass, t.borrowedVirtualTime)
 }
 
-// charge advances virtual time by a slot that the customer got from the heap.
-// A fractional slot is charged when it is given back, by its exact time.
+// charge advances virtual time for a slot that the customer got from the heap. A
+// fractional slot is charged when it is released, for the exact time it was held.
 func (t *tiers) charge(c *customer, from int, hold float64) {
 	switch from {
 	case heapFraction:
-		t.fractionTime = max(t.fractionTime, c.fractionPass)
-	case heapLent, heapLentLong:
-		t.lentTime = max(t.lentTime, c.lentPass)
-		c.lentPass += hold / c.weight()
+		t.fractionVirtualTime = max(t.fractionVirtualTime, c.fractionPass)
+	case heapBorrowed, heapBorrowedLong:
+		t.borrowedVirtualTime = max(t.borrowedVirtualTime, c.borrowedPass)
+		c.borrowedPass += hold / c.weight()
 	}
 }
