--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,8 +1,8 @@
-// Package placement decides which target of a service an entry node sends a
-// request to. It answers the load of a service whose targets differ in speed and
-// distance, and of which some are full, cold or ill: near targets first as long
-// as the answer is likely to come in time, further ones when that is worth the
-// bytes. The package is pure: time and random numbers are handed in.
+// Package placement decides to which target of a service an entry node sends a request.
+// Targets of a service differ in speed and distance, and some are full, cold or failing.
+// Near targets are preferred as long as the response is likely to arrive in time;
+// farther ones are chosen if the gain is worth the bytes sent across failure domains.
+// The package is pure: the caller passes time and random numbers.
 package placement
 
 import (
@@ -12,29 +12,29 @@
 	"tamarackquay/internal/link"
 )
 
-// Distance is how far a target is from the entry node.
+// Distance is the network distance between a target and the entry node.
 type Distance uint8
 
-// The distances, nearest first.
+// Distances, nearest first.
 const (
 	SameVM Distance = iota
 	SameDomain
 	SameRegion
 	OtherRegion
-	// Distances is how many there are.
+	// NumDistances is the number of distances.
 	NumDistances
 )
 
-// DefaultHalfBytes is the size from which bytes weigh half where nobody sets it.
+// DefaultHalfBytes is the default of Request.HalfBytes.
 const DefaultHalfBytes = 20e3
 
-// outside is what the bytes of a request cost that leave the failure domain, as a
-// part of what an answer in time is worth. Links between domains are shared and
-// paid for by volume, at prices that a node can't see, so all ways out weigh the
-// same and a further target is taken only for what the caller gains. It stays
-// below one: a target that is ill or surely late is never the better one, however
-// large the answer.
-func (r *Request) outside(distance Distance) float64 {
+// byteCost returns the cost of the bytes of a request that leave the failure domain, as
+// a part of the value of a response in time. Links between domains are shared and billed
+// by volume, at prices unknown to the node, so all distances outside the domain cost the
+// same and a farther target is chosen only for the caller's benefit. The cost stays
+// below one: a target that is failing or certainly late is never preferred, however
+// large the response.
+func (r *Request) byteCost(distance Distance) float64 {
 	if distance <= SameDomain || r.HalfBytes <= 0 {
 		return 0
 	}
@@ -42,243 +42,249 @@
 	return bytes / (bytes + r.HalfBytes)
 }
 
-// Least is a bound that no target at a distance costs less than. Nearer targets that cost
-// no more need not be compared with it.
-func (r *Request) MinCost(distance Distance) float64 { return r.outside(distance) }
+// MinCost returns a lower bound of the cost of all targets at a distance. If a nearer
+// target costs no more than that, the targets at the distance need not be evaluated.
+func (r *Request) MinCost(distance Distance) float64 { return r.byteCost(distance) }
 
-// HeaderBytes is about what the headers of a message between nodes take, HopBytes
-// what those of a request and its answer take.
+// HeaderBytes is the approximate size of the headers of a message between nodes,
+// RoundTripHeaderBytes that of the headers of a request and its response.
 const (
 	HeaderBytes          = 600
 	RoundTripHeaderBytes = 2 * HeaderBytes
 )
 
-// firstRTT is the round trip that is assumed until one was measured.
-var firstRTT = [NumDistances]time.Duration{0, 500 * time.Microsecond, 2 * time.Millisecond, 40 * time.Millisecond}
+// defaultRTT is the round-trip time assumed until one has been measured.
+var defaultRTT = [NumDistances]time.Duration{0, 500 * time.Microsecond, 2 * time.Millisecond, 40 * time.Millisecond}
 
-// Weights of what was observed.
+// Parameters of the observations.
 const (
-	// factorGain is the weight of a new observation of a target's speed.
-	factorGain = 0.1
-	// leastFactor and mostFactor bound how much faster or slower than the mean
-	// of its service a target is taken for.
-	leastFactor, mostFactor = 0.2, 20
-	// workGain is the weight of a new observation of a route's work.
-	workGain = 0.05
-	// rttGain is the weight of a new observation of a round trip.
-	rttGain = 0.2
-	// reportAge is how long a target's own word on its load counts.
-	reportAge = 2 * time.Second
-	// coldFactor is how much slower a target is taken for that has just
-	// started, until its own answers say otherwise.
-	coldFactor = 2
-	// failGain is the weight of one outcome in the part of failures, and
-	// failHalfLife the time in which a remembered part halves without news.
-	failGain     = 0.15
-	failHalfLife = 3 * time.Second
-	// spreadOfWork is the spread of the logarithm of the time that requests of
+	// holdFactorWeight is the weight of a new sample of a target's speed.
+	holdFactorWeight = 0.1
+	// minHoldFactor and maxHoldFactor bound how much faster or slower than the mean of
+	// its service a target is assumed to be.
+	minHoldFactor, maxHoldFactor = 0.2, 20
+	// routeWeight is the weight of a new sample of a route's hold time and response
+	// size.
+	routeWeight = 0.05
+	// rttWeight is the weight of a new sample of the round-trip time.
+	rttWeight = 0.2
+	// maxReportAge is how long a target's load report is used.
+	maxReportAge = 2 * time.Second
+	// coldHoldFactor is the hold factor assumed for a target that has just started,
+	// until its own responses have been measured.
+	coldHoldFactor = 2
+	// failureWeight is the weight of one outcome in the failure rate. failureHalfLife is
+	// the time in which the failure rate halves without new outcomes.
+	failureWeight   = 0.15
+	failureHalfLife = 3 * time.Second
+	// holdSpread is the standard deviation of the logarithm of the time that requests of
 	// one route take: two in three take 0.6 to 1.65 times the median.
-	spreadOfWork = 0.5
+	holdSpread = 0.5
 )
 
-// Times for which a target is left alone.
+// Pauses of the backoff from a target.
 const (
-	// avoidFirst is the pause after a first refusal to take any work; it
-	// doubles with each further one up to avoidMost.
-	avoidFirst = 250 * time.Millisecond
-	avoidMost  = 4 * time.Second
-	// avoidRestart is the longest pause for a target whose node stops, isn't ready
-	// or can't be reached.
-	avoidRestart = 500 * time.Millisecond
+	// minBackoff is the pause after the first refusal to accept any work. It doubles
+	// with each further refusal, up to maxBackoff.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// maxRestartBackoff is the longest pause for a target whose node is stopping, not
+	// ready or unreachable.
+	maxRestartBackoff = 500 * time.Millisecond
 )
 
-// Load is a target's own word on its load, as its node counts it.
+// Load is the load report of a target, as counted by its node.
 type Load struct {
 	Running, Waiting, Slots int
-	// Hold is how long a request holds a slot on average.
+	// Hold is the mean time for which a request holds a slot.
 	Hold time.Duration
-	// Failing is the part of its answers that were failures, 0 to 1.
+	// FailureRate is the part of its responses that were failures, 0 to 1.
 	FailureRate float64
-	// LinkWait is how long a large answer waits for the VM's link, LinkRate the
-	// bytes a second that it then gets; 0 for links that need no pacing.
+	// LinkWait is how long a large response waits for the VM's link, and LinkRate the
+	// bytes per second that it then gets; 0 for links that need no pacing.
 	LinkWait time.Duration
 	LinkRate float64
 }
 
-// Stats is what an entry node knows of one target. It is not safe for concurrent
-// use.
+// Stats holds the measurements that an entry node has of one target. It is not safe for
+// concurrent use.
 type Stats struct {
 	Distance Distance
-	// Slots is what the platform says; the target's own word goes first.
+	// Slots is the number of slots according to the platform. Load reports take
+	// precedence.
 	Slots int
-	// WarmAt is when a target that has just started has its full speed.
+	// WarmAt is the time at which a target that has just started reaches its full speed.
 	WarmAt time.Time
 
-	open       int
-	openThen   int
-	load       Load
-	loadAt     time.Time
-	rtt        time.Duration
-	factor     float64
-	failing    float64
-	failedAt   time.Time
-	avoidUntil time.Time
-	avoidFor   time.Duration
+	openAttempts   int
+	openAtReport   int
+	load           Load
+	loadReportedAt time.Time
+	rtt            time.Duration
+	holdFactor     float64
+	failureRate    float64
+	failureRateAt  time.Time
+	backoffUntil   time.Time
+	pause          time.Duration
 }
 
-// Begin counts an attempt that is sent.
-func (s *Stats) Begin() { s.open++ }
+// Begin counts an attempt that was sent.
+func (s *Stats) Begin() { s.openAttempts++ }
 
-// End counts an attempt that is over.
-func (s *Stats) End() { s.open-- }
+// End counts an attempt that has ended.
+func (s *Stats) End() { s.openAttempts-- }
 
-// Heard takes a target's word on its load.
+// UpdateLoad records a load report of the target.
 func (s *Stats) UpdateLoad(now time.Time, load Load) {
 	s.load = load
-	s.loadAt = now
-	s.openThen = s.open
-	s.fade(now)
-	s.failing = max(s.failing, load.FailureRate)
+	s.loadReportedAt = now
+	s.openAtReport = s.openAttempts
+	s.decayFailureRate(now)
+	s.failureRate = max(s.failureRate, load.FailureRate)
 }
 
-// Believed returns the target's last word on its load, and how old it is.
+// LastLoad returns the last load report of the target and its age.
 func (s *Stats) LastLoad(now time.Time) (Load, time.Duration) {
-	if s.loadAt.IsZero() {
+	if s.loadReportedAt.IsZero() {
 		return Load{}, 0
 	}
-	return s.load, now.Sub(s.loadAt)
+	return s.load, now.Sub(s.loadReportedAt)
 }
 
-// Answered takes an answer: how long the target held the request beside the
-// mean of its route, and how long the way there and back took.
+// RecordResponse records a response: for how long the target held the request, relative
+// to the mean of its route, and the round-trip time.
 func (s *Stats) RecordResponse(now time.Time, relative float64, rtt time.Duration) {
-	if s.factor == 0 {
-		s.factor = 1
+	if s.holdFactor == 0 {
+		s.holdFactor = 1
 	}
-	s.factor += factorGain * (min(max(relative, leastFactor), mostFactor) - s.factor)
+	s.holdFactor += holdFactorWeight * (min(max(relative, minHoldFactor), maxHoldFactor) - s.holdFactor)
 	if s.rtt == 0 {
 		s.rtt = rtt
 	}
-	s.rtt += time.Duration(rttGain * float64(rtt-s.rtt))
-	s.outcome(now, 0)
-	s.avoidFor = 0
+	s.rtt += time.Duration(rttWeight * float64(rtt-s.rtt))
+	s.recordOutcome(now, 0)
+	s.pause = 0
 }
 
-// Failed takes an attempt that got a failure or no answer.
-func (s *Stats) RecordFailure(now time.Time) { s.outcome(now, 1) }
+// RecordFailure records an attempt that ended with a failure or without a response.
+func (s *Stats) RecordFailure(now time.Time) { s.recordOutcome(now, 1) }
 
-func (s *Stats) outcome(now time.Time, failed float64) {
-	s.fade(now)
-	s.failing += failGain * (failed - s.failing)
+func (s *Stats) recordOutcome(now time.Time, failed float64) {
+	s.decayFailureRate(now)
+	s.failureRate += failureWeight * (failed - s.failureRate)
 }
 
-func (s *Stats) fade(now time.Time) {
-	if !s.failedAt.IsZero() {
-		s.failing *= math.Exp2(-now.Sub(s.failedAt).Seconds() / failHalfLife.Seconds())
+func (s *Stats) decayFailureRate(now time.Time) {
+	if !s.failureRateAt.IsZero() {
+		s.failureRate *= math.Exp2(-now.Sub(s.failureRateAt).Seconds() / failureHalfLife.Seconds())
 	}
-	s.failedAt = now
+	s.failureRateAt = now
 }
 
-// Avoid leaves a target alone that takes no work, for a time that doubles while
-// that goes on, up to avoidMost.
-func (s *Stats) BackOff(now time.Time) { s.avoid(now, avoidMost) }
+// BackOff pauses requests to a target that accepts no work. Consecutive pauses double,
+// up to maxBackoff; a call during a pause has no effect.
+func (s *Stats) BackOff(now time.Time) { s.backOff(now, maxBackoff) }
 
-// AvoidRestart is the same for a target whose node restarts, which takes a second
-// or two: a longer pause would leave the target idle once the node is back.
-func (s *Stats) BackOffRestart(now time.Time) { s.avoid(now, avoidRestart) }
+// BackOffRestart is BackOff for a target whose node restarts. A restart takes a second
+// or two; a longer pause would leave the target idle after it.
+func (s *Stats) BackOffRestart(now time.Time) { s.backOff(now, maxRestartBackoff) }
 
-func (s *Stats) avoid(now time.Time, most time.Duration) {
-	if now.Before(s.avoidUntil) {
+func (s *Stats) backOff(now time.Time, longest time.Duration) {
+	if now.Before(s.backoffUntil) {
 		return
 	}
-	s.avoidFor = min(max(2*s.avoidFor, avoidFirst), most)
-	s.avoidUntil = now.Add(s.avoidFor)
+	s.pause = min(max(2*s.pause, minBackoff), longest)
+	s.backoffUntil = now.Add(s.pause)
 }
 
-// Available reports whether the target isn't left alone.
-func (s *Stats) Available(now time.Time) bool { return !now.Before(s.avoidUntil) }
+// Available reports whether no backoff from the target is in progress.
+func (s *Stats) Available(now time.Time) bool { return !now.Before(s.backoffUntil) }
 
-// Work is the running mean of how long a route's requests hold a slot and how
-// large their answers are, over all targets.
+// RouteStats holds the moving averages, over all targets, of how long the requests of a
+// route hold a slot and of the size of their responses.
 type RouteStats struct {
 	Hold          time.Duration
 	ResponseBytes float64
 }
 
-// Observe takes one answer and returns its hold as a multiple of the mean.
-func (w *RouteStats) Observe(hold time.Duration, factor float64, bytes int) float64 {
-	w.ResponseBytes += workGain * (float64(bytes) - w.ResponseBytes)
-	if w.Hold <= 0 {
-		w.Hold = hold
+// Observe records a response of a target with the given hold factor, and returns its
+// hold time as a multiple of the mean.
+func (r *RouteStats) Observe(hold time.Duration, factor float64, bytes int) float64 {
+	r.ResponseBytes += routeWeight * (float64(bytes) - r.ResponseBytes)
+	if r.Hold <= 0 {
+		r.Hold = hold
 	}
-	relative := float64(hold) / float64(max(w.Hold, time.Microsecond))
-	w.Hold += time.Duration(workGain * (float64(hold)/max(factor, leastFactor) - float64(w.Hold)))
+	relative := float64(hold) / float64(max(r.Hold, time.Microsecond))
+	r.Hold += time.Duration(routeWeight * (float64(hold)/max(factor, minHoldFactor) - float64(r.Hold)))
 	return relative
 }
 
-// Factor is how much longer the target takes than the mean.
+// HoldFactor returns the target's hold time relative to the mean of all targets.
 func (s *Stats) HoldFactor() float64 {
-	if s.factor == 0 {
+	if s.holdFactor == 0 {
 		return 1
 	}
-	return s.factor
+	return s.holdFactor
 }
 
-// Hold is how long the target holds a request whose usual work is given.
+// Hold returns for how long the target holds a request with the given mean hold time.
 func (s *Stats) Hold(now time.Time, usual time.Duration) time.Duration {
 	factor := s.HoldFactor()
-	if s.factor == 0 && now.Before(s.WarmAt) {
-		factor = coldFactor
+	if s.holdFactor == 0 && now.Before(s.WarmAt) {
+		factor = coldHoldFactor
 	}
 	return time.Duration(float64(usual) * factor)
 }
 
-// Request is what a choice needs to know of a request.
+// Request holds the properties of a request that the choice of a target depends on.
 type Request struct {
 	Route RouteStats
-	// Left is the time in which the answer is still wanted.
+	// TimeLeft is the time within which the response is still useful.
 	TimeLeft time.Duration
-	// Sent is how many bytes the request itself has.
+	// RequestBytes is the size of the request itself.
 	RequestBytes float64
-	// HalfBytes is the size at which leaving the failure domain weighs half as much
-	// as a late answer; 0 if bytes don't matter.
+	// HalfBytes is the size at which leaving the failure domain costs half as much as a
+	// late response; 0 if bytes don't matter.
 	HalfBytes float64
 }
 
-// expected are the parts of the time until an answer.
-func (s *Stats) expected(now time.Time, r *Request) (way, wait, hold time.Duration) {
-	way = s.rtt
-	if way == 0 {
-		way = firstRTT[s.Distance]
+// expectedTimes returns the components of the time until a response: network, queue and
+// hold time.
+func (s *Stats) expectedTimes(now time.Time, r *Request) (network, wait, hold time.Duration) {
+	network = s.rtt
+	if network == 0 {
+		network = defaultRTT[s.Distance]
 	}
 	hold = s.Hold(now, r.Route.Hold)
-	return way + s.transfer(now, r.Route.ResponseBytes), s.wait(now, hold), hold
+	return network + s.transferTime(now, r.Route.ResponseBytes), s.expectedWait(now, hold), hold
 }
 
-// transfer is how long a large answer takes over the link of the target's VM.
-// Answers to callers on the same VM don't cross it.
-func (s *Stats) transfer(now time.Time, bytes float64) time.Duration {
+// transferTime returns how long a large response takes over the link of the target's VM.
+// Responses to callers on the same VM don't cross it.
+func (s *Stats) transferTime(now time.Time, bytes float64) time.Duration {
 	if s.Distance == SameVM || bytes < link.LargeSize || s.load.LinkRate <= 0 {
 		return 0
 	}
 	took := time.Duration(bytes / s.load.LinkRate * float64(time.Second))
-	return took + max(0, s.load.LinkWait-now.Sub(s.loadAt))
+	return took + max(0, s.load.LinkWait-now.Sub(s.loadReportedAt))
 }
 
-// Expected is how long an answer takes that takes so many times the usual work.
-func (s *Stats) ExpectedLatency(now time.Time, r *Request, work float64) time.Duration {
-	way, wait, hold := s.expected(now, r)
-	return way + wait + time.Duration(work*float64(hold))
+// ExpectedLatency returns the expected time until the response to a request that takes
+// the given multiple of its route's mean hold time.
+func (s *Stats) ExpectedLatency(now time.Time, r *Request, multiple float64) time.Duration {
+	network, wait, hold := s.expectedTimes(now, r)
+	return network + wait + time.Duration(multiple*float64(hold))
 }
 
-// wait is how long until a slot falls free: what runs and waits there beyond the
-// slots, at the pace at which slots fall free.
-func (s *Stats) wait(now time.Time, hold time.Duration) time.Duration {
+// expectedWait returns the time until a slot becomes free: the number of requests
+// running and waiting at the target beyond its slots, divided by the rate at which slots
+// become free.
+func (s *Stats) expectedWait(now time.Time, hold time.Duration) time.Duration {
 	slots := s.Slots
-	ahead := s.open
-	if now.Sub(s.loadAt) < reportAge {
+	ahead := s.openAttempts
+	if now.Sub(s.loadReportedAt) < maxReportAge {
 		slots = s.load.Slots
-		ahead = max(s.open, s.load.Running+s.load.Waiting+s.open-s.openThen)
+		ahead = max(s.openAttempts, s.load.Running+s.load.Waiting+s.openAttempts-s.openAtReport)
 		if s.load.Hold > 0 {
 			hold = s.load.Hold
 		}
@@ -289,43 +295,43 @@
 	return time.Duration(float64(ahead+1-slots) / float64(slots) * float64(hold))
 }
 
-// HasRoom reports whether the target is believed to have a free slot now.
-func (s *Stats) HasFreeSlot(now time.Time) bool { return s.wait(now, time.Second) == 0 }
+// HasFreeSlot reports whether the target is expected to have a free slot now.
+func (s *Stats) HasFreeSlot(now time.Time) bool { return s.expectedWait(now, time.Second) == 0 }
 
-// Weights of the cost beside the chance of a late answer, as parts of the worth
-// of an answer in time.
+// Weights of the cost components other than the probability of a late response, as parts
+// of the value of a response in time.
 const (
-	// lateWeight orders targets that would all be late by how late.
+	// lateWeight orders targets that would all be late by how late they would be.
 	lateWeight = 0.3
-	// fullWeight keeps some room at each target: one that is nearly full is
-	// slower, and a burst meets a queue there.
-	fullWeight = 0.05
+	// utilizationWeight keeps some slots free at each target: a nearly full target is
+	// slower, and bursts would be queued there.
+	utilizationWeight = 0.05
 )
 
-// Cost is what sending the request to the target costs, as a part of what an
-// answer in time is worth: the chance that it is late or fails, the bytes that
-// leave the failure domain, and how full the target is.
+// Cost returns the cost of sending the request to the target, as a part of the value of
+// a response in time: the probability that the response is late or a failure, the bytes
+// that leave the failure domain, and the utilization of the target.
 func (s *Stats) Cost(now time.Time, r *Request) float64 {
-	way, wait, hold := s.expected(now, r)
-	left := r.TimeLeft - way - wait
-	cost := lateChance(left, hold)
-	if left < hold {
-		cost += lateWeight * float64(hold-left) / float64(max(r.TimeLeft, hold, time.Millisecond))
+	network, wait, hold := s.expectedTimes(now, r)
+	timeLeft := r.TimeLeft - network - wait
+	cost := lateProbability(timeLeft, hold)
+	if timeLeft < hold {
+		cost += lateWeight * float64(hold-timeLeft) / float64(max(r.TimeLeft, hold, time.Millisecond))
 	}
-	// Squared, since a small part of failures is mostly chance and costs less than as
-	// many answers: another target may be asked, and the caller asks again. Weighed
-	// in full, a target that lost a part of its answers got no work at all, and the
-	// others more than they could do in time.
-	failing := s.failing * math.Exp2(-now.Sub(s.failedAt).Seconds()/failHalfLife.Seconds())
-	cost += failing * failing
-	cost += r.outside(s.Distance)
-	return cost + fullWeight*s.fullness(now)
+	// Squared, since a low failure rate is mostly chance, and a failure costs less than
+	// a lost response: another target may be tried, and the caller may retry. With the
+	// plain rate, a target that lost a part of its responses got no work at all, and the
+	// other targets got more than they could handle in time.
+	failureRate := s.failureRate * math.Exp2(-now.Sub(s.failureRateAt).Seconds()/failureHalfLife.Seconds())
+	cost += failureRate * failureRate
+	cost += r.byteCost(s.Distance)
+	return cost + utilizationWeight*s.utilization(now)
 }
 
-func (s *Stats) fullness(now time.Time) float64 {
-	slots, running := s.Slots, s.open
-	if now.Sub(s.loadAt) < reportAge {
-		slots, running = s.load.Slots, max(s.open, s.load.Running+s.open-s.openThen)
+func (s *Stats) utilization(now time.Time) float64 {
+	slots, running := s.Slots, s.openAttempts
+	if now.Sub(s.loadReportedAt) < maxReportAge {
+		slots, running = s.load.Slots, max(s.openAttempts, s.load.Running+s.openAttempts-s.openAtReport)
 	}
 	if slots <= 0 {
 		return 0
@@ -333,18 +339,18 @@
 	return min(1, float64(running)/float64(slots))
 }
 
-// lateChance is the chance that work of a mean takes longer than what is left,
-// by the logistic curve that is close to a log-normal one.
-func lateChance(left, mean time.Duration) float64 {
-	if left <= 0 {
+// lateProbability returns the probability that work with the given mean takes longer
+// than timeLeft. It uses the logistic curve closest to the log-normal distribution.
+func lateProbability(timeLeft, mean time.Duration) float64 {
+	if timeLeft <= 0 {
 		return 1
 	}
 	if mean <= 0 {
 		return 0
 	}
-	sigmas := math.Log(float64(left)/float64(mean)) / spreadOfWork
+	sigmas := math.Log(float64(timeLeft)/float64(mean)) / holdSpread
 	return 1 / (1 + math.Exp(logisticScale*sigmas))
 }
 
-// logisticScale makes the logistic curve closest to the normal one.
+// logisticScale is the scale at which the logistic curve is closest to the normal one.
 const logisticScale = 1.702
