--- a/internal/quarantine/cost_test.go
+++ b/internal/quarantine/cost_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// fullLedger holds as many crashes as a ledger keeps, of targets with so many slots.
+// fullLedger returns a ledger with the maximum number of crashes, of targets with the
+// given number of slots.
 func fullLedger(slots int) *Ledger {
 	l := NewLedger()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -30,7 +31,8 @@
 	return stats.HeapAlloc
 }
 
-// Guards against a ledger that takes a node's memory when its targets have many slots.
+// Guards against a ledger that uses too much of a node's memory if its targets have many
+// slots.
 func TestFullLedgerIsSmall(t *testing.T) {
 	before := heap()
 	l := fullLedger(maxSuspects)
@@ -40,7 +42,7 @@
 	runtime.KeepAlive(l)
 }
 
-// BenchmarkDecide is what a node spends on one crash more.
+// BenchmarkDecide measures the cost of one more crash.
 func BenchmarkDecide(b *testing.B) {
 	for _, slots := range []int{12, maxSuspects} {
 		b.Run(fmt.Sprint("slots-", slots), func(b *testing.B) {
@@ -53,7 +55,7 @@
 	}
 }
 
-// BenchmarkRequest is what a node spends on a request that never ran beside a crash.
+// BenchmarkRequest measures the cost of a request that never ran at the time of a crash.
 func BenchmarkRequest(b *testing.B) {
 	l := fullLedger(12)
 	now := at(100)
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine finds requests that crash the targets that run them, and keeps
-// them from further targets. The package is pure: time is handed in.
+// Package quarantine detects requests that crash the targets that run them, and blocks
+// them from other targets. The package is pure: the caller passes the current time.
 package quarantine
 
 import (
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint is the same for requests that are the same to a target, whoever sends
-// them and however often.
+// Fingerprint identifies requests that are the same to a target, regardless of their
+// sender and of how often they are sent.
 type Fingerprint uint64
 
-// Content is what a target sees of a request apart from its headers.
+// Content holds the parts of a request, other than its headers, that a target receives.
 type Content struct {
 	Method, Host, URI string
-	// Length is the body's length in bytes, negative when it is not known.
+	// Length is the length of the body in bytes, negative if unknown.
 	Length int64
-	// Body holds the first bytes of a large body.
+	// Body holds the body; of a large one, its first bytes.
 	Body []byte
 }
 
@@ -33,10 +33,10 @@
 	return Fingerprint(digest.Sum64())
 }
 
-// String renders the fingerprint for logs and headers.
+// String formats the fingerprint for logs and headers.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the result of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	return Fingerprint(value), err
--- a/internal/quarantine/notice.go
+++ b/internal/quarantine/notice.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Notice is what one node tells another of crashes. Ages count from when it is sent, so
-// that no two clocks need agree.
+// Notice is a message about crashes from one node to another. Ages are relative to the
+// time of sending, so that the nodes' clocks need not agree.
 type Notice struct {
 	Crashes []Crash `cbor:"c,omitempty"`
-	// Completed are requests that ran to their end after they had run beside a crash.
+	// Completed lists requests that completed after they had run at the time of a crash.
 	Completed []Completion `cbor:"d,omitempty"`
-	// Blocks are requests that are kept from targets.
+	// Blocks lists the blocked requests.
 	Blocks []Block `cbor:"q,omitempty"`
 }
 
-// Empty reports whether the notice tells nothing.
+// Empty reports whether the notice has no content.
 func (n *Notice) Empty() bool {
 	return len(n.Crashes) == 0 && len(n.Completed) == 0 && len(n.Blocks) == 0
 }
 
-// Crash is the end of a target's process, told by its own node.
+// Crash is the end of a target's process, as reported by its own node.
 type Crash struct {
-	// ID tells crashes apart.
+	// ID identifies the crash.
 	ID  uint64        `cbor:"i"`
 	Age time.Duration `cbor:"a"`
-	// Answered says that the target had answered requests since its start. One that never did
-	// may crash under any request.
+	// Answered reports whether the target had answered requests since its start. A
+	// target that never did may crash under any request.
 	Answered bool `cbor:"p,omitempty"`
-	// Suspects are the requests that ran there, each once.
+	// Suspects lists the requests that were running at the target, without duplicates.
 	Suspects []Fingerprint `cbor:"s"`
 }
 
-// Completion tells that a request ran to its end.
+// Completion reports that a request completed.
 type Completion struct {
 	Request Fingerprint   `cbor:"r"`
 	Age     time.Duration `cbor:"a"`
 }
 
-// Block keeps a request from targets.
+// Block reports that a request is blocked.
 type Block struct {
 	Request Fingerprint `cbor:"r"`
-	// Age is the time since the last crash under it.
+	// Age is the time since its last crash.
 	Age time.Duration `cbor:"a"`
-	// Times counts how often it was blocked.
+	// Times is how often the request has been blocked.
 	Times int `cbor:"n"`
 }
--- a/internal/quarantine/shared.go
+++ b/internal/quarantine/shared.go
@@ -5,76 +5,78 @@
 	"time"
 )
 
-// Clock tells the time.
+// Clock provides the current time.
 type Clock interface{ Now() time.Time }
 
-// Shared is a node's ledger, used by its requests and by its feeds. It is safe for
-// concurrent use.
+// SharedLedger is the ledger of a node, shared by its requests and its feeds. It is safe
+// for concurrent use.
 type SharedLedger struct {
 	clock Clock
 
-	mu      sync.Mutex
-	ledger  *Ledger
-	feeds   Feed
-	changed chan struct{}
+	mu       sync.Mutex
+	ledger   *Ledger
+	lastFeed Feed
+	changed  chan struct{}
 }
 
-// NewShared returns a ledger that knows nothing.
+// NewSharedLedger returns an empty ledger.
 func NewSharedLedger(clock Clock) *SharedLedger {
 	return &SharedLedger{clock: clock, ledger: NewLedger(), changed: make(chan struct{})}
 }
 
-// Count returns in how many crashes a request was a suspect that nothing else explains.
+// CrashCount returns the number of crashes in which the request was a suspect and that
+// nothing else explains.
 func (s *SharedLedger) CrashCount(request Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.CrashCount(request)
 }
 
-// Quarantined returns for how long yet a request is kept from targets; zero if it isn't.
+// BlockRemaining returns how much longer the request is blocked; zero if it isn't.
 func (s *SharedLedger) BlockRemaining(request Fingerprint) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.BlockRemaining(s.clock.Now(), request)
 }
 
-// Crashed takes a crash that this node saw.
+// RecordCrash records a crash observed by this node.
 func (s *SharedLedger) RecordCrash(c Crash) { s.Merge(0, &Notice{Crashes: []Crash{c}}) }
 
-// Completed takes a run to its end that this node saw.
+// RecordCompletion records that this node observed a request complete.
 func (s *SharedLedger) RecordCompletion(request Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ledger.RecordCompletion(s.clock.Now(), request) {
-		s.wake()
+		s.notify()
 	}
 }
 
-// Open returns a feed that has not been used before.
+// NewFeed returns an unused feed.
 func (s *SharedLedger) NewFeed() Feed {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.feeds++
-	return s.feeds
+	s.lastFeed++
+	return s.lastFeed
 }
 
-// Merge takes what comes by a feed.
+// Merge adds the content of a notice received on a feed.
 func (s *SharedLedger) Merge(from Feed, n *Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ledger.Merge(s.clock.Now(), from, n) {
-		s.wake()
+		s.notify()
 	}
 }
 
-// wake must be called with the mutex held.
-func (s *SharedLedger) wake() {
+// notify signals a change to the feeds. The mutex must be held.
+func (s *SharedLedger) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Since returns what the neighbour on a feed lacks that was told everything up to a position, its
-// position after that, and a channel that is closed when there is more.
+// Since returns the items that the neighbour on a feed lacks if it has received
+// everything up to a position, its position after receiving them, and a channel that is
+// closed when there are more.
 func (s *SharedLedger) Since(position uint64, to Feed) (notice *Notice, next uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,14 +84,15 @@
 	return notice, next, s.changed
 }
 
-// Blocked returns how many requests are kept from targets.
+// BlockedCount returns the number of blocked requests.
 func (s *SharedLedger) BlockedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.BlockedCount(s.clock.Now())
 }
 
-// TakeDropped returns how many crashes were left out since it was last asked.
+// TakeDropped returns the number of crashes that exceeded the rate limit since the last
+// call.
 func (s *SharedLedger) TakeDropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
