--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate lets goroutines wait for the decisions of the admission queue of
-// one target.
+// Package gate makes goroutines wait for the decisions of the admission queue of one
+// target.
 package gate
 
 import (
@@ -13,48 +13,48 @@
 	"tamarackquay/internal/port"
 )
 
-// Gate holds the admission queue and those who wait at it. It is safe for
+// Gate holds the admission queue and the goroutines that wait in it. It is safe for
 // concurrent use.
 type Gate struct {
 	clock port.Clock
 
 	mu      sync.Mutex
 	queue   *admission.Queue
-	drain   admission.Breaker
+	breaker admission.Breaker
 	waiters map[string]*waiter
 }
 
-// waiter is a goroutine that waits for a slot. Done is closed when its request
-// has started or, with a refusal, when it was dropped.
+// waiter is a goroutine that waits for a slot. done is closed when its request has
+// started or was dropped; in the latter case refusal is set.
 type waiter struct {
 	done    chan struct{}
 	refusal *port.Refusal
 }
 
-// New returns a gate without terms, which refuses everything; seed starts the
-// spread of the times that refused callers are told.
+// New returns a gate without terms, which refuses all requests. seed initializes the
+// random numbers that spread retry times.
 func New(clock port.Clock, seed uint64) *Gate {
 	return &Gate{clock: clock, queue: admission.NewQueue(admission.Terms{}, seed), waiters: map[string]*waiter{}}
 }
 
-// Configure takes new terms; see admission.Queue.Configure.
+// Configure applies new terms; see admission.Queue.Configure.
 func (g *Gate) Configure(terms admission.Terms) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.wake(g.queue.Configure(g.clock.Now(), terms))
+	g.notifyWaiters(g.queue.Configure(g.clock.Now(), terms))
 }
 
-func (g *Gate) wake(changes admission.Changes) {
+func (g *Gate) notifyWaiters(changes admission.Changes) {
 	for i := range changes.Started {
-		g.end(changes.Started[i].ID, nil)
+		g.finish(changes.Started[i].ID, nil)
 	}
 	for i := range changes.Dropped {
 		drop := &changes.Dropped[i]
-		g.end(drop.Request.ID, refusalOf(drop.Reason, drop.RetryAfter))
+		g.finish(drop.Request.ID, newRefusal(drop.Reason, drop.RetryAfter))
 	}
 }
 
-func (g *Gate) end(id string, refusal *port.Refusal) {
+func (g *Gate) finish(id string, refusal *port.Refusal) {
 	w := g.waiters[id]
 	if w == nil {
 		return
@@ -64,7 +64,7 @@
 	delete(g.waiters, id)
 }
 
-// refusalDetails say in a sentence what each reason means.
+// refusalDetails describes each reason in a sentence.
 var refusalDetails = map[admission.Reason]string{
 	admission.ReasonQueueFull: "the customer is over its contract and its queue at this target is full",
 	admission.ReasonDeadline:  "no slot is likely to fall free before the deadline",
@@ -74,18 +74,18 @@
 	admission.ReasonDuplicate: "a request with this id is known already",
 }
 
-func refusalOf(reason admission.Reason, retryAfter time.Duration) *port.Refusal {
+func newRefusal(reason admission.Reason, retryAfter time.Duration) *port.Refusal {
 	return &port.Refusal{Reason: port.Reason(reason), RetryAfter: retryAfter, Detail: refusalDetails[reason]}
 }
 
-// Enter waits for a slot. On success the caller must call Leave once.
+// Acquire waits for a slot. On success the caller must call Release once.
 func (g *Gate) Acquire(ctx context.Context, r admission.Request) *port.Refusal {
 	decision, w := g.offer(r)
 	switch decision.Verdict {
 	case admission.Admitted:
 		return nil
 	case admission.Refused:
-		return refusalOf(decision.Reason, decision.RetryAfter)
+		return newRefusal(decision.Reason, decision.RetryAfter)
 	}
 	timer := time.NewTimer(r.Deadline.Sub(g.clock.Now()))
 	defer timer.Stop()
@@ -94,14 +94,14 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return g.settle(ctx, r, w)
+	return g.endWait(ctx, r, w)
 }
 
 func (g *Gate) offer(r admission.Request) (admission.Decision, *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	decision, changes := g.queue.Offer(g.clock.Now(), r)
-	g.wake(changes)
+	g.notifyWaiters(changes)
 	if decision.Verdict != admission.Queued {
 		return decision, nil
 	}
@@ -110,11 +110,11 @@
 	return decision, w
 }
 
-// settle ends a wait. The waiter's goroutine may run long after its request was
-// started, when the process was paused or the caller has gone in between. The
-// slot then goes back unused: the caller no longer waits for the answer, and
-// the living need the slot.
-func (g *Gate) settle(ctx context.Context, r admission.Request, w *waiter) *port.Refusal {
+// endWait ends a wait. The waiter's goroutine may run long after its request was
+// started, if the process was paused or the caller disconnected in between. The slot is
+// then released unused: the caller no longer waits for the response, and other requests
+// need the slot.
+func (g *Gate) endWait(ctx context.Context, r admission.Request, w *waiter) *port.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if w.refusal != nil {
@@ -129,58 +129,59 @@
 		delete(g.waiters, r.ID)
 		g.queue.Cancel(r.ID)
 	} else {
-		g.wake(g.queue.Release(now, r.ID))
+		g.notifyWaiters(g.queue.Release(now, r.ID))
 	}
 	return port.Refuse(port.ReasonDeadline, g.queue.RetryAfter(now, r), "the request got no slot while its caller waited")
 }
 
-// Leave gives back the slot of a request that Enter let through.
+// Release frees the slot of a request for which Acquire succeeded.
 func (g *Gate) Release(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.wake(g.queue.Release(g.clock.Now(), id))
+	g.notifyWaiters(g.queue.Release(g.clock.Now(), id))
 }
 
-// Tick lets waiting requests start that time alone has made room for.
+// Tick starts waiting requests that can start only because time has passed.
 func (g *Gate) Tick() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.wake(g.queue.Tick(g.clock.Now()))
+	g.notifyWaiters(g.queue.Tick(g.clock.Now()))
 }
 
-// MayOffer reports whether the target takes work, for a call that has a slot. It
-// is asked after the wait for the slot, since the target may begin to drain
-// meanwhile.
+// CheckDraining returns a refusal if the target is considered to be draining, for a call
+// that has a slot. It must be called after the wait for the slot, since the target may
+// begin to drain in the meantime.
 func (g *Gate) CheckDraining() *port.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if wait, ok := g.drain.Allow(g.clock.Now()); !ok {
+	if wait, ok := g.breaker.Allow(g.clock.Now()); !ok {
 		return port.Refuse(port.ReasonDraining, wait, "the target sheds all work and is left alone")
 	}
 	return nil
 }
 
-// Observe learns from how a call at the target ended. It must be called before
-// Leave. A refusal other than a shed was made before the target was asked, and
-// tells nothing of it.
+// Observe updates the breaker and the slots from the result of a call at the target. It
+// must be called before Release. A refusal other than a shed was made before the call
+// was sent to the target, so it contains no information about the target.
 func (g *Gate) Observe(err error) {
 	var refusal *port.Refusal
 	refused := errors.As(err, &refusal)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !refused {
-		g.drain.RecordAccepted()
+		g.breaker.RecordAccepted()
 		return
 	}
 	if refusal.Reason != port.ReasonShed {
 		return
 	}
 	now := g.clock.Now()
-	g.drain.RecordShed(now, g.queue.Running() == 1)
-	g.wake(g.queue.Shed(now))
+	g.breaker.RecordShed(now, g.queue.Running() == 1)
+	g.notifyWaiters(g.queue.Shed(now))
 }
 
-// Counts returns how many requests hold a slot and how many wait for one.
+// Counts returns the number of requests that hold a slot and the number that wait for
+// one.
 func (g *Gate) Counts() (running, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -15,44 +15,44 @@
 	"tamarackquay/internal/port"
 )
 
-type virtualClock struct{}
+type systemClock struct{}
 
-func (virtualClock) Now() time.Time { return time.Now() }
+func (systemClock) Now() time.Time { return time.Now() }
 
 func oneSlot() admission.Terms {
 	return admission.Terms{Slots: 1, QueuePerSlot: 4, Shares: map[string]admission.Share{"a": {Guaranteed: 1, Limit: 1}}}
 }
 
-// heldGate returns a gate of one slot that "running" holds.
-func heldGate(t *testing.T) *Gate {
-	g := New(virtualClock{}, 1)
+// newFullGate returns a gate with one slot, held by the request "running".
+func newFullGate(t *testing.T) *Gate {
+	g := New(systemClock{}, 1)
 	g.Configure(oneSlot())
-	assert.Check(t, g.Acquire(t.Context(), gateRequest("running", time.Minute)) == nil)
+	assert.Check(t, g.Acquire(t.Context(), newRequest("running", time.Minute)) == nil)
 	return g
 }
 
-func gateRequest(id string, wait time.Duration) admission.Request {
+func newRequest(id string, wait time.Duration) admission.Request {
 	return admission.Request{ID: id, Customer: "a", Deadline: time.Now().Add(wait)}
 }
 
-// enterLater starts a goroutine that waits at the gate and tells the outcome.
-func enterLater(ctx context.Context, g *Gate, r admission.Request) <-chan *port.Refusal {
-	outcome := make(chan *port.Refusal, 1)
-	go func() { outcome <- g.Acquire(ctx, r) }()
+// acquireAsync starts a goroutine that waits for a slot and sends the result.
+func acquireAsync(ctx context.Context, g *Gate, r admission.Request) <-chan *port.Refusal {
+	result := make(chan *port.Refusal, 1)
+	go func() { result <- g.Acquire(ctx, r) }()
 	synctest.Wait()
-	return outcome
+	return result
 }
 
-// A caller hangs up while its request waits. The request leaves the queue at
-// once, and the slot goes to the next caller when it falls free.
-func TestVanishedCallerLeavesTheGate(t *testing.T) {
+// A caller disconnects while its request waits. The request must leave the queue at
+// once, and the slot must go to the next caller when it becomes free.
+func TestCanceledRequestLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := heldGate(t)
-		ctx, hangUp := context.WithCancel(t.Context())
-		gone := enterLater(ctx, g, gateRequest("gone", time.Minute))
-		next := enterLater(t.Context(), g, gateRequest("next", time.Minute))
-		hangUp()
-		assert.Equal(t, (<-gone).Reason, port.ReasonDeadline)
+		g := newFullGate(t)
+		ctx, cancel := context.WithCancel(t.Context())
+		canceled := acquireAsync(ctx, g, newRequest("canceled", time.Minute))
+		next := acquireAsync(t.Context(), g, newRequest("next", time.Minute))
+		cancel()
+		assert.Equal(t, (<-canceled).Reason, port.ReasonDeadline)
 		g.Release("running")
 		assert.Check(t, <-next == nil)
 		running, waiting := g.Counts()
@@ -60,29 +60,29 @@
 	})
 }
 
-// A slot is given to a waiting request, but its goroutine wakes only after the
-// deadline, as it does when the process is paused in between. The caller has
-// gone; the request must not run, and its slot goes to one whose caller waits.
+// A slot is given to a waiting request whose goroutine runs only after the deadline, as
+// happens if the process is paused in between. The caller has disconnected: the request
+// must not run, and its slot must go to a request whose caller still waits.
 func TestRequestThatWakesPastItsDeadlineDoesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := heldGate(t)
-		late := gateRequest("late", time.Second)
+		g := newFullGate(t)
+		late := newRequest("late", time.Second)
 		_, w := g.offer(late)
-		next := enterLater(t.Context(), g, gateRequest("next", time.Minute))
+		next := acquireAsync(t.Context(), g, newRequest("next", time.Minute))
 		g.Release("running")
 		time.Sleep(time.Minute / 2)
-		assert.Equal(t, g.settle(t.Context(), late, w).Reason, port.ReasonDeadline)
+		assert.Equal(t, g.endWait(t.Context(), late, w).Reason, port.ReasonDeadline)
 		assert.Check(t, <-next == nil)
 	})
 }
 
-// A request that no slot frees up for is answered at its deadline, with a time
-// to come back, and its place in the queue is free again.
+// A request for which no slot becomes free must be refused at its deadline, with a retry
+// time, and its place in the queue must be free again.
 func TestWaitEndsAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := heldGate(t)
+		g := newFullGate(t)
 		begin := time.Now()
-		refusal := g.Acquire(t.Context(), gateRequest("hopeful", time.Second))
+		refusal := g.Acquire(t.Context(), newRequest("waiting", time.Second))
 		assert.Equal(t, refusal.Reason, port.ReasonDeadline)
 		assert.Check(t, refusal.RetryAfter > 0)
 		assert.Equal(t, time.Since(begin), time.Second)
@@ -91,12 +91,12 @@
 	})
 }
 
-// A new version withdraws the grant of a customer whose requests wait. They are
-// answered at once, as not run, instead of at their deadlines.
+// A new version withdraws the grant of a customer whose requests wait. They must be
+// refused at once, as not run, and not only at their deadlines.
 func TestWithdrawnGrantAnswersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := heldGate(t)
-		waiting := enterLater(t.Context(), g, gateRequest("waiting", time.Minute))
+		g := newFullGate(t)
+		waiting := acquireAsync(t.Context(), g, newRequest("waiting", time.Minute))
 		g.Configure(admission.Terms{Slots: 1, QueuePerSlot: 4})
 		assert.Equal(t, (<-waiting).Reason, port.ReasonNoGrant)
 		g.Release("running")
@@ -105,40 +105,40 @@
 	})
 }
 
-// The target sheds what the gate admitted. The gate sends it less for a while,
-// and an error that proves nothing about slots changes nothing.
-func TestShedsAtTheTargetLowerTheSlots(t *testing.T) {
+// The target sheds requests that the gate admitted. The gate must admit fewer for a
+// while; an error that proves nothing about slots must change nothing.
+func TestShedsReduceTheSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := New(virtualClock{}, 1)
+		g := New(systemClock{}, 1)
 		terms := oneSlot()
 		terms.Slots = 2
 		g.Configure(terms)
 		for _, id := range []string{"one", "two"} {
-			assert.Check(t, g.Acquire(t.Context(), gateRequest(id, time.Minute)) == nil)
+			assert.Check(t, g.Acquire(t.Context(), newRequest(id, time.Minute)) == nil)
 		}
 		g.Observe(&port.Unknown{Stage: "answer"})
 		assert.Equal(t, g.queue.Slots(), 2)
 		g.Observe(port.Refuse(port.ReasonShed, 0, "shed"))
 		g.Release("two")
 		assert.Equal(t, g.queue.Slots(), 1)
-		waiting := enterLater(t.Context(), g, gateRequest("three", time.Minute))
+		waiting := acquireAsync(t.Context(), g, newRequest("three", time.Minute))
 		g.Release("one")
 		assert.Check(t, <-waiting == nil)
 	})
 }
 
-// Many callers come, hang up and run into deadlines while slots change. At the
-// end no slot and no waiter is left behind, which under the race detector also
-// shows that the gate is safe for concurrent use.
+// Many callers arrive, disconnect and reach their deadlines while the number of slots
+// changes. At the end no slot and no waiter may be left over. Run under the race
+// detector, this also shows that the gate is safe for concurrent use.
 func TestGateLeaksNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := New(virtualClock{}, 1)
+		g := New(systemClock{}, 1)
 		g.Configure(oneSlot())
 		for i := range 300 {
-			ctx, hangUp := context.WithTimeout(t.Context(), time.Duration(i%7+1)*10*time.Millisecond)
+			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(i%7+1)*10*time.Millisecond)
 			go func() {
-				defer hangUp()
-				r := gateRequest(fmt.Sprintf("r%d", i), time.Duration(i%5+1)*10*time.Millisecond)
+				defer cancel()
+				r := newRequest(fmt.Sprintf("r%d", i), time.Duration(i%5+1)*10*time.Millisecond)
 				if g.Acquire(ctx, r) == nil {
 					time.Sleep(time.Duration(i%3) * time.Millisecond)
 					g.Release(r.ID)
@@ -157,13 +157,14 @@
 	})
 }
 
-// One customer sends twenty times its contract, another what it was promised.
-// Each caller is a goroutine of its own, as in the node. The second customer
-// gets what it asks for, no slot is idle, and refused callers hear at once.
+// One customer sends twenty times its contract, another as much as its contract
+// guarantees. Each caller is a goroutine of its own, as in a node. The second customer
+// must get all that it requests, no slot may be idle, and refused callers must be
+// refused at once.
 func TestGateKeepsContractsUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots, service, seconds = 10, 50 * time.Millisecond, 4
-		g := New(virtualClock{}, 1)
+		g := New(systemClock{}, 1)
 		g.Configure(admission.Terms{Slots: slots, QueuePerSlot: 8, Shares: map[string]admission.Share{
 			"steady": {Guaranteed: 0.6, Limit: 1}, "surge": {Guaranteed: 0.4, Limit: 1},
 		}})
@@ -177,7 +178,7 @@
 					start := time.Now()
 					r := admission.Request{ID: fmt.Sprintf("%s-%d", customer, n), Customer: customer, Deadline: start.Add(2 * time.Second)}
 					if refusal := g.Acquire(t.Context(), r); refusal != nil {
-						assert.Check(t, time.Since(start) == 0, "told after %s", time.Since(start))
+						assert.Check(t, time.Since(start) == 0, "refused after %s", time.Since(start))
 						return
 					}
 					time.Sleep(service)
@@ -190,26 +191,26 @@
 		send(1, "surge", 20*0.4*perSecond)
 		callers.Wait()
 		total := perSecond * seconds
-		assert.Check(t, float64(served[0].Load()) >= 0.99*0.6*total, "%d of %.0f", served[0].Load(), 0.6*total)
+		assert.Check(t, float64(served[0].Load()) >= 0.99*0.6*total, "%d requests served, %.0f expected", served[0].Load(), 0.6*total)
 		assert.Check(t, float64(served[0].Load()+served[1].Load()) >= 0.99*total)
 	})
 }
 
-// A trial's deadline passes before the target is asked. That proves nothing, and
-// must not open the way for all calls to a target that still drains.
-func TestUnsentTrialProvesNothing(t *testing.T) {
+// The deadline of a probe passes before the call is sent to the target. This proves
+// nothing, and must not close the breaker for a target that still drains.
+func TestUnsentProbeKeepsBreakerOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := New(virtualClock{}, 1)
+		g := New(systemClock{}, 1)
 		g.Configure(oneSlot())
 		for _, id := range []string{"one", "two"} {
-			assert.Check(t, g.Acquire(t.Context(), gateRequest(id, time.Minute)) == nil)
+			assert.Check(t, g.Acquire(t.Context(), newRequest(id, time.Minute)) == nil)
 			assert.Check(t, g.CheckDraining() == nil)
 			g.Observe(port.Refuse(port.ReasonShed, 0, "shed"))
 			g.Release(id)
 		}
 		assert.Check(t, g.CheckDraining() != nil)
 		time.Sleep(time.Second)
-		assert.Check(t, g.CheckDraining() == nil, "the trial")
+		assert.Check(t, g.CheckDraining() == nil, "the probe")
 		g.Observe(port.Refuse(port.ReasonDeadline, 0, "not sent"))
 		assert.Check(t, g.CheckDraining() != nil)
 	})
