--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,133 +1,134 @@
-// Package link shares a VM's network link between large answers and everything
-// else. It answers the load of a service whose answers together need more than
-// the links of its VMs carry: without it the queue of the link grows to seconds,
-// and small answers of calls, heartbeats and new connections wait in it behind
-// archives. The package is pure: time is handed in.
+// Package link divides a VM's network link between large responses and all other
+// traffic. It is needed where the responses of a service together exceed the bandwidth
+// of its VMs' links: without it the queue of a link grows to seconds, and small
+// responses, heartbeats and new connections wait in it behind archives. The package is
+// pure: the caller passes the current time.
 package link
 
 import "time"
 
 const (
-	// Large is the size from which an answer is paced. Below it an answer takes
-	// less than 30 ms of a link of 10 Mbit/s, and holds no other up for long.
+	// LargeSize is the size in bytes from which a response is paced. A smaller response
+	// takes less than 30 ms on a link of 10 Mbit/s and doesn't delay others for long.
 	LargeSize = 32 << 10
-	// share is the part of the link that answers may take together. The rest is
-	// for acknowledgements, the headers of packets and what is not counted here.
-	share = 0.93
-	// nearlyFree is the wait below which a link counts as free: one small answer
-	// or two are always on their way.
-	nearlyFree = 10 * time.Millisecond
-	// burst is how far the pace may be behind what was granted.
+	// responseShare is the part of the link's bandwidth for all responses together. The
+	// rest is for acknowledgements, packet headers and traffic that isn't counted here.
+	responseShare = 0.93
+	// freeThreshold is the wait below which a link counts as free: one or two small
+	// responses are always in transit.
+	freeThreshold = 10 * time.Millisecond
+	// burst is how many bytes may be sent ahead of the rate.
 	burst = 16 << 10
 )
 
-// Share is the part of a link that answers have. It is not safe for
-// concurrent use.
+// Pacer paces the responses sent over a link. It is not safe for concurrent use.
 type Pacer struct {
-	// rate is what all answers together may take, in bytes a second; 0 for a link that needs no pacing.
+	// rate is the rate of all responses together, in bytes per second; 0 for a link that
+	// needs no pacing.
 	rate float64
-	// backlog is what is yet to be sent, as of at.
-	backlog float64
-	at      time.Time
-	// nextReturn is the time that was told to the last caller who was refused.
-	nextReturn time.Time
-	// paid is when the bytes sent so far are paid for by the pace.
-	paid time.Time
+	// backlog is the number of bytes still to be sent at backlogAt.
+	backlog   float64
+	backlogAt time.Time
+	// lastRetryAt is the time at which the caller that was refused last should retry.
+	lastRetryAt time.Time
+	// nextSendAt is the time at which the rate covers all bytes sent so far.
+	nextSendAt time.Time
 }
 
-// NewShare returns the share of a link of so many bytes a second; 0 means that
-// the link's speed is not known and nothing is paced.
-func NewPacer(bytesPerSecond float64) *Pacer { return &Pacer{rate: share * bytesPerSecond} }
+// NewPacer returns a pacer for a link with the given bandwidth. If it is 0, the link's
+// speed is unknown and nothing is paced.
+func NewPacer(bytesPerSecond float64) *Pacer { return &Pacer{rate: responseShare * bytesPerSecond} }
 
-// Rate is the pace of answers in bytes a second.
-func (s *Pacer) Rate() float64 { return s.rate }
+// Rate returns the rate of responses in bytes per second.
+func (p *Pacer) Rate() float64 { return p.rate }
 
-// Wait is how long a new large answer waits for those ahead of it.
-func (s *Pacer) Wait(now time.Time) time.Duration {
-	if s.rate <= 0 {
+// Wait returns how long a new large response waits for those ahead of it.
+func (p *Pacer) Wait(now time.Time) time.Duration {
+	if p.rate <= 0 {
 		return 0
 	}
-	s.drain(now)
-	return time.Duration(s.backlog / s.rate * float64(time.Second))
+	p.drainBacklog(now)
+	return time.Duration(p.backlog / p.rate * float64(time.Second))
 }
 
-// Admit takes an answer of an expected size into the backlog, or reports false
-// if its last byte would wait longer than it may, and when to come back. An
-// answer that finds the link free is always taken.
-func (s *Pacer) Admit(now time.Time, size float64, wait time.Duration) (retryAfter time.Duration, ok bool) {
-	if s.rate <= 0 || size < LargeSize {
+// Admit adds a response of an expected size to the backlog. If its last byte would wait
+// longer than maxWait, Admit returns false and the time after which to retry. A response
+// is always admitted if the link is free.
+func (p *Pacer) Admit(now time.Time, size float64, maxWait time.Duration) (retryAfter time.Duration, ok bool) {
+	if p.rate <= 0 || size < LargeSize {
 		return 0, true
 	}
-	if s.Wait(now) < nearlyFree {
-		s.backlog += size
+	if p.Wait(now) < freeThreshold {
+		p.backlog += size
 		return 0, true
 	}
-	alone := time.Duration(size / s.rate * float64(time.Second))
-	// Those sent beside it take as much of the link as it does.
-	if took := s.Wait(now) + MaxConcurrent*alone; took > wait {
-		return s.bookReturn(now, took-wait, alone), false
+	duration := time.Duration(size / p.rate * float64(time.Second))
+	// Responses sent concurrently use as much of the link as this one.
+	if total := p.Wait(now) + MaxConcurrent*duration; total > maxWait {
+		return p.reserveRetry(now, total-maxWait, duration), false
 	}
-	s.backlog += size
+	p.backlog += size
 	return 0, true
 }
 
-// mostReturn bounds the time after which a refused caller is asked back.
-const mostReturn = 10 * time.Second
+// maxRetryAfter bounds the retry times of refused callers.
+const maxRetryAfter = 10 * time.Second
 
-// bookReturn tells a refused caller when the link is likely to have room for it.
-// Each refusal books the time of one answer, so that callers who were refused
-// together don't come back together and are refused again.
-func (s *Pacer) bookReturn(now time.Time, earliest, alone time.Duration) time.Duration {
-	if first := now.Add(earliest); s.nextReturn.Before(first) {
-		s.nextReturn = first
+// reserveRetry returns when the link is likely to have capacity for a refused response.
+// Each refusal reserves the duration of one response. Otherwise callers that were
+// refused together would retry together and be refused again.
+func (p *Pacer) reserveRetry(now time.Time, earliest, duration time.Duration) time.Duration {
+	if first := now.Add(earliest); p.lastRetryAt.Before(first) {
+		p.lastRetryAt = first
 	} else {
-		s.nextReturn = s.nextReturn.Add(alone)
+		p.lastRetryAt = p.lastRetryAt.Add(duration)
 	}
-	if last := now.Add(mostReturn); s.nextReturn.After(last) {
-		s.nextReturn = last
+	if latest := now.Add(maxRetryAfter); p.lastRetryAt.After(latest) {
+		p.lastRetryAt = latest
 	}
-	return s.nextReturn.Sub(now)
+	return p.lastRetryAt.Sub(now)
 }
 
-// Correct replaces the expected size of an admitted answer by its true one.
-func (s *Pacer) CorrectSize(expected, size float64) {
-	if s.rate > 0 && expected >= LargeSize {
-		s.backlog = max(0, s.backlog+size-expected)
+// CorrectSize replaces the expected size of an admitted response by its actual size.
+func (p *Pacer) CorrectSize(expected, size float64) {
+	if p.rate > 0 && expected >= LargeSize {
+		p.backlog = max(0, p.backlog+size-expected)
 	}
 }
 
-// Small counts bytes that are sent without a pace: small answers, and requests
-// to other VMs. Large answers get what these leave. At a VM whose link carries 21
-// archives a second, 50 calls a second took an eighth of it; not counted, they
-// filled its queue all the same.
-func (s *Pacer) CountUnpaced(now time.Time, bytes int) {
-	if s.rate <= 0 {
+// CountUnpaced counts bytes that are sent without pacing: small responses, and requests
+// to other VMs. Large responses get the remaining rate. At a VM whose link carries 21
+// archives a second, 50 calls a second used an eighth of it; when these were not
+// counted, they still filled the queue of the link.
+func (p *Pacer) CountUnpaced(now time.Time, bytes int) {
+	if p.rate <= 0 {
 		return
 	}
-	s.drain(now)
-	s.backlog += float64(bytes)
-	s.pay(now, bytes)
+	p.drainBacklog(now)
+	p.backlog += float64(bytes)
+	p.charge(now, bytes)
 }
 
-func (s *Pacer) drain(now time.Time) {
-	if !s.at.IsZero() {
-		s.backlog = max(0, s.backlog-s.rate*now.Sub(s.at).Seconds())
+func (p *Pacer) drainBacklog(now time.Time) {
+	if !p.backlogAt.IsZero() {
+		p.backlog = max(0, p.backlog-p.rate*now.Sub(p.backlogAt).Seconds())
 	}
-	s.at = now
+	p.backlogAt = now
 }
 
-// Pace returns how long to wait before so many bytes of a large answer are sent.
-func (s *Pacer) Reserve(now time.Time, bytes int) time.Duration {
-	if s.rate <= 0 {
+// Reserve returns how long to wait before sending the given number of bytes of a large
+// response.
+func (p *Pacer) Reserve(now time.Time, bytes int) time.Duration {
+	if p.rate <= 0 {
 		return 0
 	}
-	s.pay(now, bytes)
-	return max(0, s.paid.Sub(now))
+	p.charge(now, bytes)
+	return max(0, p.nextSendAt.Sub(now))
 }
 
-func (s *Pacer) pay(now time.Time, bytes int) {
-	if earliest := now.Add(-time.Duration(burst / s.rate * float64(time.Second))); s.paid.Before(earliest) {
-		s.paid = earliest
+func (p *Pacer) charge(now time.Time, bytes int) {
+	if earliest := now.Add(-time.Duration(burst / p.rate * float64(time.Second))); p.nextSendAt.Before(earliest) {
+		p.nextSendAt = earliest
 	}
-	s.paid = s.paid.Add(time.Duration(float64(bytes) / s.rate * float64(time.Second)))
+	p.nextSendAt = p.nextSendAt.Add(time.Duration(float64(bytes) / p.rate * float64(time.Second)))
 }
--- a/internal/link/turns.go
+++ b/internal/link/turns.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// AtOnce is how many large answers are sent at a time. If all were sent together,
-// each would take as long as all; one alone can't fill the link on a long way, and
-// would hold up all others while its reader is slow.
+// MaxConcurrent is the number of large responses sent concurrently. If all were sent at
+// once, each would take as long as all together. A single one can't fill a link with a
+// long round trip, and would delay all others if its reader is slow.
 const MaxConcurrent = 2
 
-// Turn is a large answer that is sent or waits to be.
+// Transfer is a large response that is being sent or waits to be sent.
 type Transfer struct {
-	// Due is when the answer must be with its caller to be in time.
+	// Deadline is when the caller must have received the response.
 	Deadline time.Time
 }
 
-// Turns orders the large answers that cross a VM's link: the one that is due
-// first goes first. Targets take a tenth to three times the usual time for a
-// request, and in the order in which answers are ready a quick one would be sent
-// early and a slow one, with the least time left, after all of those: of answers
-// that had 1,200 ms, one in five was late for that. Nothing is left to wait for
-// ever: what is due long ago goes first. It is not safe for concurrent use.
+// TransferQueue orders the large responses that cross a VM's link by deadline, earliest
+// first. Targets take a tenth to three times the usual time for a request. In the order
+// in which responses become ready, a quick one would be sent early, and a slow one,
+// which has the least time left, after all others; in that order one in five responses
+// with a deadline of 1,200 ms was late. No response waits forever, since the oldest
+// deadlines come first. It is not safe for concurrent use.
 type TransferQueue struct {
 	sending int
 	waiting []*Transfer
 }
 
-// Ask takes an answer in and reports whether it may be sent at once.
-func (q *TransferQueue) Start(turn *Transfer) bool {
+// Start adds a response and reports whether it may be sent at once.
+func (q *TransferQueue) Start(transfer *Transfer) bool {
 	if q.sending < MaxConcurrent {
 		q.sending++
 		return true
 	}
-	at, _ := slices.BinarySearchFunc(q.waiting, turn, func(waiting, new *Transfer) int {
+	position, _ := slices.BinarySearchFunc(q.waiting, transfer, func(waiting, new *Transfer) int {
 		if waiting.Deadline.After(new.Deadline) {
 			return 1
 		}
 		return -1
 	})
-	q.waiting = slices.Insert(q.waiting, at, turn)
+	q.waiting = slices.Insert(q.waiting, position, transfer)
 	return false
 }
 
-// End takes note that an answer has been sent or given up, and returns the one
-// to be sent next, or nil.
+// Finish records that a response was sent or abandoned, and returns the next one to
+// send, or nil.
 func (q *TransferQueue) Finish() *Transfer {
 	if len(q.waiting) == 0 {
 		q.sending--
@@ -55,12 +55,13 @@
 	return next
 }
 
-// Cancel takes a waiting answer out. It reports false for one whose turn came.
-func (q *TransferQueue) Cancel(turn *Transfer) bool {
-	at := slices.Index(q.waiting, turn)
-	if at < 0 {
+// Cancel removes a waiting response. It returns false if the response is no longer
+// waiting.
+func (q *TransferQueue) Cancel(transfer *Transfer) bool {
+	position := slices.Index(q.waiting, transfer)
+	if position < 0 {
 		return false
 	}
-	q.waiting = slices.Delete(q.waiting, at, at+1)
+	q.waiting = slices.Delete(q.waiting, position, position+1)
 	return true
 }
--- a/internal/link/turns_test.go
+++ b/internal/link/turns_test.go
@@ -7,18 +7,18 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTurnsGoByDueTime(t *testing.T) {
+func TestTransfersAreOrderedByDeadline(t *testing.T) {
 	var q TransferQueue
 	for range MaxConcurrent {
 		assert.Assert(t, q.Start(&Transfer{Deadline: start}))
 	}
-	late, early, gone := &Transfer{Deadline: start.Add(2 * time.Second)}, &Transfer{Deadline: start.Add(time.Second)}, &Transfer{Deadline: start}
-	for _, turn := range []*Transfer{late, early, gone} {
-		assert.Assert(t, !q.Start(turn))
+	late, early, canceled := &Transfer{Deadline: start.Add(2 * time.Second)}, &Transfer{Deadline: start.Add(time.Second)}, &Transfer{Deadline: start}
+	for _, transfer := range []*Transfer{late, early, canceled} {
+		assert.Assert(t, !q.Start(transfer))
 	}
-	assert.Assert(t, q.Cancel(gone))
+	assert.Assert(t, q.Cancel(canceled))
 	assert.Equal(t, q.Finish(), early)
-	assert.Assert(t, !q.Cancel(early), "its turn came")
+	assert.Assert(t, !q.Cancel(early), "it has been started")
 	assert.Equal(t, q.Finish(), late)
 	for range MaxConcurrent {
 		assert.Assert(t, q.Finish() == nil)
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -22,7 +22,7 @@
 off own-speed-in-waits internal/proxy/rank.go 's/if stats := p.stats\[member.ID\]; stats != nil {/if stats := p.stats[member.ID]; false {/'
 off time-behind-a-wait internal/proxy/rank.go 's/^const workMargin = 1.5/const workMargin = 1.0/'
 off repeats internal/proxy/repeat.go 's/if arrivals >= f.route.MaxAttempts {/if true {/'
-off pace-of-large-answers internal/link/link.go 's/return \&Pacer{rate: share \* bytesPerSecond}/return \&Pacer{rate: 0 * bytesPerSecond}/'
+off pace-of-large-answers internal/link/link.go 's/return \&Pacer{rate: responseShare \* bytesPerSecond}/return \&Pacer{rate: 0 * bytesPerSecond}/'
 off deadline-order-of-large-answers internal/proxy/pace.go 's/turn := \&link.Transfer{Deadline: due}/turn := \&link.Transfer{}/'
 
 if [ $# -ne 2 ]; then
