--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -31,30 +31,30 @@
 // Allow reports whether a call may be sent to the target now and, if not, the time until
 // the next probe. A call let through as a probe blocks others until its result is known
 // or another pause has passed.
-func (d *Breaker) Allow(now time.Time) (wait time.Duration, ok bool) {
-	if d.sheds < breakerThreshold {
+func (b *Breaker) Allow(now time.Time) (wait time.Duration, ok bool) {
+	if b.sheds < breakerThreshold {
 		return 0, true
 	}
-	if now.Before(d.until) {
-		return d.until.Sub(now), false
+	if now.Before(b.until) {
+		return b.until.Sub(now), false
 	}
-	d.until = now.Add(d.pause)
+	b.until = now.Add(b.pause)
 	return 0, true
 }
 
 // RecordShed records a call that the target shed. alone means that the target ran no
 // other call of this node.
-func (d *Breaker) RecordShed(now time.Time, alone bool) {
+func (b *Breaker) RecordShed(now time.Time, alone bool) {
 	if !alone {
 		return
 	}
-	d.sheds++
-	if d.sheds < breakerThreshold {
+	b.sheds++
+	if b.sheds < breakerThreshold {
 		return
 	}
-	d.pause = min(max(2*d.pause, minBreakerPause), maxBreakerPause)
-	d.until = now.Add(d.pause)
+	b.pause = min(max(2*b.pause, minBreakerPause), maxBreakerPause)
+	b.until = now.Add(b.pause)
 }
 
 // RecordAccepted records a call that the target did not shed, and closes the breaker.
-func (d *Breaker) RecordAccepted() { *d = Breaker{} }
+func (b *Breaker) RecordAccepted() { *b = Breaker{} }
--- a/internal/admission/estimate_test.go
+++ b/internal/admission/estimate_test.go
@@ -93,8 +93,8 @@
 }
 
 // An entry node probes a full target a thousand times with NoWait requests and goes
-// elsewhere each time. Probes must not reserve retry times: the first caller that is
-// refused for good still gets the next slot as its retry time, and a probe never joins
+// elsewhere each time. Probes must not reserve retry times: the first caller whose
+// refusal is final still gets the next slot as its retry time, and a probe never joins
 // the queue.
 func TestProbesReserveNoRetryTime(t *testing.T) {
 	f := newFixture(t, 1, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -12,8 +12,8 @@
 	terms Terms
 	// slots is how many requests may run now: the configured number, or fewer after the
 	// target has shed.
-	slots          int
-	slotsChangedAt time.Time
+	slots         int
+	recoverySince time.Time
 
 	customers map[string]*customer
 	entries   map[string]*entry
@@ -30,9 +30,9 @@
 	// levels holds the revisit levels of all customers' call chains; see cycle.go.
 	levels revisitLevels
 
-	// contendedSeconds is how long, in seconds, some customer has been waiting for its
-	// fractional slot. Use of fractional slots is charged in this time, so using one
-	// that nobody else needs costs nothing.
+	// contendedSeconds is the total time, in seconds, during which some customer waited
+	// for its fractional slot. Use of fractional slots is charged in this time, so using
+	// one that nobody else needs costs nothing.
 	contendedSeconds float64
 	lastEvent        time.Time
 
@@ -149,7 +149,7 @@
 func (q *Queue) refuse(now time.Time, c *customer, r *Request, reason Reason) (Decision, Changes) {
 	if reason == ReasonBusy {
 		// The entry node tries another target. Reserving a retry time for it would only
-		// delay callers that are refused for good.
+		// delay callers whose refusal is final.
 		after := jitter(q.retryInterval(c, r.Long), q.random)
 		return Decision{Verdict: Refused, Reason: reason, RetryAfter: after}, q.changes
 	}
--- a/internal/admission/terms.go
+++ b/internal/admission/terms.go
@@ -86,7 +86,7 @@
 	if accepted < q.slots {
 		q.resize(accepted)
 	}
-	q.slotsChangedAt = now
+	q.recoverySince = now
 	return q.changes
 }
 
@@ -95,10 +95,10 @@
 	if q.slots >= q.terms.Slots {
 		return
 	}
-	steps := int(now.Sub(q.slotsChangedAt) / shedRecovery)
+	steps := int(now.Sub(q.recoverySince) / shedRecovery)
 	if steps < 1 {
 		return
 	}
-	q.slotsChangedAt = q.slotsChangedAt.Add(time.Duration(steps) * shedRecovery)
+	q.recoverySince = q.recoverySince.Add(time.Duration(steps) * shedRecovery)
 	q.resize(min(q.slots+steps, q.terms.Slots))
 }
