--- a/internal/follow/notices.go
+++ b/internal/follow/notices.go
@@ -10,7 +10,7 @@
 // each feed, so that a notice from any node reaches all nodes.
 type Notices interface {
 	// Open returns an identifier for a new feed.
-	Open() quarantine.Feed
+	NewFeed() quarantine.Feed
 	// Since returns the notices after a position that the neighbour on a feed lacks, its
 	// position afterwards, and a channel that is closed when there are more.
 	Since(position uint64, to quarantine.Feed) (notice *quarantine.Notice, next uint64, changed <-chan struct{})
--- a/internal/follow/world_link_test.go
+++ b/internal/follow/world_link_test.go
@@ -168,7 +168,7 @@
 	var noticing sync.WaitGroup
 	defer noticing.Wait()
 	defer cancel()
-	near, far := feedEnd{l.node, local, local.Open()}, feedEnd{address, remote, remote.Open()}
+	near, far := feedEnd{l.node, local, local.NewFeed()}, feedEnd{address, remote, remote.NewFeed()}
 	noticing.Go(func() { w.sendNotices(ctx, near, far) })
 	noticing.Go(func() { w.sendNotices(ctx, far, near) })
 	idleTimer := time.AfterFunc(1200*time.Millisecond, cancel)
--- a/internal/follow/world_test.go
+++ b/internal/follow/world_test.go
@@ -67,7 +67,7 @@
 	nodes      map[string]*Follower
 	// crashes holds each node's state of requests that crash targets, noticeBytes the size
 	// of the notices that each node has sent.
-	crashes     map[string]*quarantine.Shared
+	crashes     map[string]*quarantine.SharedLedger
 	noticeBytes map[string]int
 	stops       map[string]context.CancelFunc
 	// processes holds a context for each node that ends with its process, and with it the
@@ -90,7 +90,7 @@
 		endedAt:          map[string]time.Time{},
 		linkFreeAt:       map[string]time.Time{}, sentBytes: map[string]int{},
 		targets: map[string]mesh.Target{}, changed: make(chan struct{}), revision: 1,
-		crashes: map[string]*quarantine.Shared{}, noticeBytes: map[string]int{},
+		crashes: map[string]*quarantine.SharedLedger{}, noticeBytes: map[string]int{},
 		rejected: map[string]bool{}, cut: map[string]bool{}, nodes: map[string]*Follower{}, stops: map[string]context.CancelFunc{}, processes: map[string]context.Context{},
 	}
 	w.publish(1)
@@ -119,7 +119,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w.mu.Lock()
 	w.nodes[id] = f
-	w.crashes[id] = quarantine.NewShared(wallClock{})
+	w.crashes[id] = quarantine.NewSharedLedger(wallClock{})
 	w.stops[id] = stop
 	w.processes[id] = ctx
 	w.mu.Unlock()
--- a/internal/link/turns_test.go
+++ b/internal/link/turns_test.go
@@ -7,21 +7,21 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTurnsGoByDueTime(t *testing.T) {
-	var q Turns
-	for range AtOnce {
-		assert.Assert(t, q.Ask(&Turn{Due: start}))
+func TestTransfersAreOrderedByDeadline(t *testing.T) {
+	var q TransferQueue
+	for range MaxConcurrent {
+		assert.Assert(t, q.Start(&Transfer{Deadline: start}))
 	}
-	late, early, gone := &Turn{Due: start.Add(2 * time.Second)}, &Turn{Due: start.Add(time.Second)}, &Turn{Due: start}
-	for _, turn := range []*Turn{late, early, gone} {
-		assert.Assert(t, !q.Ask(turn))
+	late, early, canceled := &Transfer{Deadline: start.Add(2 * time.Second)}, &Transfer{Deadline: start.Add(time.Second)}, &Transfer{Deadline: start}
+	for _, transfer := range []*Transfer{late, early, canceled} {
+		assert.Assert(t, !q.Start(transfer))
 	}
-	assert.Assert(t, q.Cancel(gone))
-	assert.Equal(t, q.End(), early)
-	assert.Assert(t, !q.Cancel(early), "its turn came")
-	assert.Equal(t, q.End(), late)
-	for range AtOnce {
-		assert.Assert(t, q.End() == nil)
+	assert.Assert(t, q.Cancel(canceled))
+	assert.Equal(t, q.Finish(), early)
+	assert.Assert(t, !q.Cancel(early), "it has been started")
+	assert.Equal(t, q.Finish(), late)
+	for range MaxConcurrent {
+		assert.Assert(t, q.Finish() == nil)
 	}
-	assert.Assert(t, q.Ask(&Turn{}))
+	assert.Assert(t, q.Start(&Transfer{}))
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -87,7 +87,7 @@
 		return o.response, err
 	}
 	if o.response.rest == nil && o.response.response.Status < minFailureStatus {
-		p.crashes.Completed(f.fingerprint)
+		p.crashes.RecordCompletion(f.fingerprint)
 	}
 	return o.response, nil
 }
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -13,8 +13,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	request := &placement.Request{
-		Work: *p.workFor(f.route), Left: f.dueIn(now),
-		Sent: float64(max(f.length, 0)), HalfBytes: p.config.HalfBytes,
+		Route: *p.workFor(f.route), TimeLeft: f.dueIn(now),
+		RequestBytes: float64(max(f.length, 0)), HalfBytes: p.config.HalfBytes,
 	}
 	if best := f.cheapest(now, request, false); best != nil || f.attempts > 0 {
 		return best
@@ -31,7 +31,7 @@
 }
 
 // candidates holds the targets of one service by distance.
-type candidates [placement.Distances][]candidate
+type candidates [placement.NumDistances][]candidate
 
 // cheapest returns the eligible target with the lowest cost, or nil. Targets further away
 // are examined only if they can cost less than the best of the nearer ones, since most
@@ -45,7 +45,7 @@
 		return nil
 	}
 	for distance, group := range groups {
-		if best != nil && minCost <= request.Least(placement.Distance(distance)) {
+		if best != nil && minCost <= request.MinCost(placement.Distance(distance)) {
 			break
 		}
 		for _, c := range group {
@@ -89,12 +89,12 @@
 const initialDownloadBytes = 100e3
 
 // workFor returns the observed work of a route. It must be called with the mutex held.
-func (p *Proxy) workFor(route *mesh.Route) *placement.Work {
+func (p *Proxy) workFor(route *mesh.Route) *placement.RouteStats {
 	work := p.work[route.Name]
 	if work == nil {
-		work = &placement.Work{}
+		work = &placement.RouteStats{}
 		if route.Kind == mesh.Download {
-			work.Bytes = initialDownloadBytes
+			work.ResponseBytes = initialDownloadBytes
 		}
 		p.work[route.Name] = work
 	}
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -58,7 +58,7 @@
 // recordRunEnd records the end of a run; err is nil if the complete response was read.
 func (p *Proxy) recordRunEnd(ctx context.Context, meta *attemptMeta, status int, err error) {
 	if err == nil && status < minFailureStatus {
-		p.crashes.Completed(meta.fingerprint)
+		p.crashes.RecordCompletion(meta.fingerprint)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 	p.ports.Meter.Count(port.MetricTargetCrashes, "", 1)
 	p.logCrash(local, &crash)
-	p.crashes.Crashed(crash)
+	p.crashes.RecordCrash(crash)
 }
 
 // finishCrashCheck records the result of a check, and returns the crash if the process
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -24,8 +24,8 @@
 const poisonPath = "/idempotent/poison"
 
 // shareCrashes makes all nodes use the same crash reports, as if exchanged over feeds.
-func (f *fleet) shareCrashes() *quarantine.Shared {
-	shared := quarantine.NewShared(wallClock{})
+func (f *fleet) shareCrashes() *quarantine.SharedLedger {
+	shared := quarantine.NewSharedLedger(wallClock{})
 	for _, p := range f.proxies {
 		p.crashes = shared
 	}
@@ -70,7 +70,7 @@
 	for i, target := range f.targets {
 		for _, other := range f.targets {
 			if other != target {
-				f.proxies[i].stats[other.id].Failed(time.Now())
+				f.proxies[i].stats[other.id].RecordFailure(time.Now())
 			}
 		}
 		assert.Equal(t, f.send(i, "GET", fmt.Sprint("/idempotent/warm", i), "").Code, http.StatusOK)
@@ -114,15 +114,15 @@
 		})
 	}
 	fingerprint := fingerprintOfPath(poisonPath)
-	for i := 0; shared.Quarantined(fingerprint) == 0; i++ {
+	for i := 0; shared.BlockRemaining(fingerprint) == 0; i++ {
 		assert.Assert(t, i < 20, "%d targets crashed", crashed.Load())
-		known := shared.Count(fingerprint)
+		known := shared.CrashCount(fingerprint)
 		before := crashed.Load()
 		w := f.send(i%len(f.proxies), "GET", poisonPath, "")
 		assert.Assert(t, w.Code != http.StatusOK)
 		if crashed.Load() > before {
 			waitFor(t, "the crash is reported", func() bool {
-				return shared.Count(fingerprint) > known || shared.Quarantined(fingerprint) > 0
+				return shared.CrashCount(fingerprint) > known || shared.BlockRemaining(fingerprint) > 0
 			})
 		}
 	}
@@ -196,20 +196,20 @@
 	}
 }
 
-func waitForCrashCount(t *testing.T, crashes *quarantine.Shared, request quarantine.Fingerprint, want int) {
+func waitForCrashCount(t *testing.T, crashes *quarantine.SharedLedger, request quarantine.Fingerprint, want int) {
 	t.Helper()
-	waitFor(t, fmt.Sprint("count ", want), func() bool { return crashes.Count(request) == want })
+	waitFor(t, fmt.Sprint("count ", want), func() bool { return crashes.CrashCount(request) == want })
 }
 
 // addCrashes reports the given number of crashes with the paths as suspects, each crash
 // together with another suspect.
-func addCrashes(crashes *quarantine.Shared, times int, paths ...string) {
+func addCrashes(crashes *quarantine.SharedLedger, times int, paths ...string) {
 	for i := range times {
 		c := quarantine.Crash{ID: uint64(i + 1), Answered: true, Suspects: []quarantine.Fingerprint{quarantine.Fingerprint(i + 1)}}
 		for _, path := range paths {
 			c.Suspects = append(c.Suspects, fingerprintOfPath(path))
 		}
-		crashes.Crashed(c)
+		crashes.RecordCrash(c)
 	}
 }
 
@@ -242,7 +242,7 @@
 	assert.Equal(t, others.Load(), int32(len(suspects)))
 	for _, path := range suspects {
 		// Each ran to completion and is no longer suspected.
-		assert.Equal(t, crashes.Count(fingerprintOfPath(path)), 0)
+		assert.Equal(t, crashes.CrashCount(fingerprintOfPath(path)), 0)
 	}
 }
 
@@ -276,7 +276,7 @@
 	// A crash of a target that never answered since its start makes no request a suspect.
 	f.send(0, "GET", poisonPath, "")
 	waitForCrashCount(t, crashes, fingerprint, 0)
-	assert.Assert(t, crashes.Quarantined(fingerprint) > 0)
+	assert.Assert(t, crashes.BlockRemaining(fingerprint) > 0)
 }
 
 // Guards against a request that stays suspected at a node that receives crash reports but
@@ -284,10 +284,10 @@
 // well.
 func TestAnswerClearsItsRequest(t *testing.T) {
 	f := newFleet(t, 2)
-	crashes := quarantine.NewShared(wallClock{})
+	crashes := quarantine.NewSharedLedger(wallClock{})
 	f.proxies[0].crashes = crashes
-	f.proxies[0].stats["t0"].Avoid(time.Now())
+	f.proxies[0].stats["t0"].BackOff(time.Now())
 	addCrashes(crashes, 1, "/idempotent/x")
 	assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Body.String(), "t1 ran /idempotent/x ")
-	assert.Equal(t, crashes.Count(fingerprintOfPath("/idempotent/x")), 0)
+	assert.Equal(t, crashes.CrashCount(fingerprintOfPath("/idempotent/x")), 0)
 }
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -83,7 +83,7 @@
 		f.callerDeadline = now.Add(wait)
 	}
 	f.fingerprint = fingerprintOf(f)
-	f.crashCount = p.crashes.Count(f.fingerprint)
+	f.crashCount = p.crashes.CrashCount(f.fingerprint)
 	f.firstAt = p.firstAttempt(f)
 	callhttp.CopyHeader(f.header, r.Header)
 	f.header[p.config.Headers.CallerService] = []string{*p.service.Load()}
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -226,7 +226,7 @@
 		stats = &placement.Stats{}
 	}
 	stats.Begin()
-	load, age := stats.Believed(now)
+	load, age := stats.LastLoad(now)
 	return stats, lastLoad{load: load, age: age}
 }
 
@@ -242,17 +242,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if resp.response.Status >= http.StatusInternalServerError {
-		stats.Failed(now)
+		stats.RecordFailure(now)
 		return
 	}
-	relative := p.workFor(route).Observe(report.holdTime, stats.Factor(), len(resp.body))
-	stats.Answered(now, relative, networkTime)
+	relative := p.workFor(route).Observe(report.holdTime, stats.HoldFactor(), len(resp.body))
+	stats.RecordResponse(now, relative, networkTime)
 	p.recordLoad(now, stats, report)
 }
 
 func (p *Proxy) recordLoad(now time.Time, stats *placement.Stats, report loadReport) {
 	if report.Slots > 0 {
-		stats.Heard(now, report.Load)
+		stats.UpdateLoad(now, report.Load)
 	}
 }
 
@@ -264,16 +264,16 @@
 	p.recordLoad(now, stats, report)
 	var refusal *port.Refusal
 	if !errors.As(err, &refusal) {
-		stats.Failed(now)
+		stats.RecordFailure(now)
 		return
 	}
 	switch refusal.Reason {
 	case port.ReasonStopping, port.ReasonNotReady, port.ReasonUnreachable:
-		stats.AvoidRestart(now)
+		stats.BackOffRestart(now)
 	case port.ReasonDraining, port.ReasonWrongOwner, port.ReasonMisdirected:
-		stats.Avoid(now)
+		stats.BackOff(now)
 	case port.ReasonShed, port.ReasonShedWithRoom:
-		stats.Failed(now)
+		stats.RecordFailure(now)
 	}
 }
 
--- a/internal/proxy/hold.go
+++ b/internal/proxy/hold.go
@@ -51,7 +51,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	report.Hold = p.localStats.meanHold
-	report.Failing = p.localStats.failureRate
+	report.FailureRate = p.localStats.failureRate
 	report.LinkRate = p.link.Rate()
 	report.LinkWait = p.link.Wait(p.ports.Clock.Now())
 	return report
--- a/internal/proxy/operations_test.go
+++ b/internal/proxy/operations_test.go
@@ -46,7 +46,7 @@
 // docs/OPERATIONS.md lead from the request id to the target that shed it, and its load.
 func TestPathOfARefusalThoughTargetsWereFree(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t0"].Avoid(time.Now())
+	f.proxies[0].stats["t0"].BackOff(time.Now())
 	f.proxies[0].config.RetryRatio, f.proxies[0].config.RetrySlack = 0, 0
 	f.targets[1].serve = shedHandler("1,0,4")
 	f.send(0, "GET", "/idempotent/x", "")
@@ -66,7 +66,7 @@
 // the target that closed the connection, and the node that detected it.
 func TestPathOfAFilingOfUnknownOutcome(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t0"].Avoid(time.Now())
+	f.proxies[0].stats["t0"].BackOff(time.Now())
 	f.targets[1].serve = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	f.send(0, "POST", "/once/x", "filing")
 	lines := f.trace(t)
@@ -79,7 +79,7 @@
 // caller got the complete response of another target.
 func TestPathOfADownloadThatBroke(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t1"].Failed(time.Now())
+	f.proxies[0].stats["t1"].RecordFailure(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headers.Signature, "proof")
 		w.Header().Set("Content-Length", "100")
@@ -112,7 +112,7 @@
 // the first attempt, with the target and its response status.
 func TestTraceTellsOfAnAttemptThatTheTargetFailed(t *testing.T) {
 	f := newFleet(t, 2)
-	f.proxies[0].stats["t0"].Failed(time.Now())
+	f.proxies[0].stats["t0"].RecordFailure(time.Now())
 	f.targets[1].serve = func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headers.Signature, "proof")
 		w.WriteHeader(http.StatusInternalServerError)
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -72,7 +72,7 @@
 	if refusal != nil {
 		return nil, p.loadReport(received, 0), refusal
 	}
-	refusal = p.gate.Enter(ctx, admission.Request{
+	refusal = p.gate.Acquire(ctx, admission.Request{
 		ID: meta.attemptID, Customer: meshCustomer, Rank: meta.rank, Depth: meta.urgency,
 		Deadline: received.Add(min(meta.maxWait+minBudget, meta.budget)),
 	})
@@ -83,7 +83,7 @@
 	began := p.ports.Clock.Now()
 	if refusal := p.beginRun(began, meta, deadline); refusal != nil {
 		release()
-		p.gate.Leave(meta.attemptID)
+		p.gate.Release(meta.attemptID)
 		return nil, p.loadReport(received, 0), refusal
 	}
 	p.trackRun(began, meta)
@@ -272,7 +272,7 @@
 	} else {
 		defer resp.rest.Close()
 	}
-	if len(resp.body) >= link.Large && p.link.Rate() > 0 {
+	if len(resp.body) >= link.LargeSize && p.link.Rate() > 0 {
 		return p.sendPaced(ctx, w, resp, due)
 	}
 	p.countUnpaced(len(resp.body) + placement.HeaderBytes)
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -27,7 +27,7 @@
 func (p *Proxy) correctLink(meta *attemptMeta, size int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link.Correct(float64(meta.responseSize), float64(size))
+	p.link.CorrectSize(float64(meta.responseSize), float64(size))
 }
 
 // LinkWait returns how long a large response waits for the VM's link.
@@ -45,7 +45,7 @@
 func (p *Proxy) countUnpaced(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link.Small(p.ports.Clock.Now(), bytes)
+	p.link.CountUnpaced(p.ports.Clock.Now(), bytes)
 }
 
 // pacedChunk is the number of bytes of a large response sent in one write.
@@ -54,7 +54,7 @@
 // sendPaced sends a large response when its turn comes and at the rate of the link's
 // share, so that small responses are not delayed behind it.
 func (p *Proxy) sendPaced(ctx context.Context, w http.ResponseWriter, resp *bufferedResponse, due time.Time) error {
-	turn := &link.Turn{Due: due}
+	turn := &link.Transfer{Deadline: due}
 	if err := p.awaitTurn(ctx, turn); err != nil {
 		return err
 	}
@@ -65,9 +65,9 @@
 
 // awaitTurn waits until the response may be sent. If it returns nil, endTurn must be
 // called once.
-func (p *Proxy) awaitTurn(ctx context.Context, turn *link.Turn) error {
+func (p *Proxy) awaitTurn(ctx context.Context, turn *link.Transfer) error {
 	p.mu.Lock()
-	if p.turns.Ask(turn) {
+	if p.turns.Start(turn) {
 		p.mu.Unlock()
 		return nil
 	}
@@ -94,7 +94,7 @@
 func (p *Proxy) endTurn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := p.turns.End()
+	next := p.turns.Finish()
 	if next == nil {
 		return
 	}
@@ -115,7 +115,7 @@
 	written := 0
 	for chunk := range slices.Chunk(b, pacedChunk) {
 		w.proxy.mu.Lock()
-		pause := w.proxy.link.Pace(w.proxy.ports.Clock.Now(), len(chunk))
+		pause := w.proxy.link.Reserve(w.proxy.ports.Clock.Now(), len(chunk))
 		w.proxy.mu.Unlock()
 		if pause > 0 {
 			time.Sleep(pause)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -90,7 +90,7 @@
 	ViewAge func() time.Duration
 	// Crashes holds the crash reports shared by all nodes; if nil, the node uses only the
 	// crashes that it detects itself.
-	Crashes *quarantine.Shared
+	Crashes *quarantine.SharedLedger
 }
 
 // Snapshot is an immutable view of the mesh by which requests are routed.
@@ -113,7 +113,7 @@
 	ports      Ports
 	requestLog *requestLog
 	gate       *gate.Gate
-	crashes    *quarantine.Shared
+	crashes    *quarantine.SharedLedger
 	// suspectSlot is held by the request suspected of crashing targets that currently
 	// runs at the local target.
 	suspectSlot chan struct{}
@@ -137,17 +137,17 @@
 	// candidates holds the usable targets by service.
 	candidates map[string]*candidates
 	// work holds the observed work of routes, by name.
-	work          map[string]*placement.Work
+	work          map[string]*placement.RouteStats
 	retries       *retry.Ledger
 	localRuns     localRuns
 	callerRetries *clientretry.Memory
 	localStats    localStats
 	reachability  reachability
-	link          *link.Share
+	link          *link.Pacer
 	// turns schedules large responses to other nodes. turnReady holds a channel for each
 	// waiting response, closed when it may be sent.
-	turns     link.Turns
-	turnReady map[*link.Turn]chan struct{}
+	turns     link.TransferQueue
+	turnReady map[*link.Transfer]chan struct{}
 }
 
 // New returns a proxy without a snapshot; it refuses all requests until SetSnapshot.
@@ -156,18 +156,18 @@
 		config: config, ports: ports, requestLog: newRequestLog(ports), gate: gate.New(ports.Clock, config.Seed),
 		random:        rand.New(rand.NewPCG(config.Seed, 1)),
 		stats:         map[string]*placement.Stats{},
-		work:          map[string]*placement.Work{},
+		work:          map[string]*placement.RouteStats{},
 		retries:       retry.NewLedger(config.RetryWindow),
 		localRuns:     localRuns{running: map[string]localRun{}},
 		crashes:       ports.Crashes,
 		suspectSlot:   make(chan struct{}, 1),
 		callerRetries: clientretry.NewMemory(),
 		reachability:  newReachability(),
-		link:          link.NewShare(config.LinkRate),
-		turnReady:     map[*link.Turn]chan struct{}{},
+		link:          link.NewPacer(config.LinkRate),
+		turnReady:     map[*link.Transfer]chan struct{}{},
 	}
 	if p.crashes == nil {
-		p.crashes = quarantine.NewShared(ports.Clock)
+		p.crashes = quarantine.NewSharedLedger(ports.Clock)
 	}
 	p.SetService("")
 	return p
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -16,7 +16,7 @@
 
 // checkQuarantine returns a refusal if the request is quarantined, or nil.
 func (p *Proxy) checkQuarantine(request quarantine.Fingerprint) *port.Refusal {
-	left := p.crashes.Quarantined(request)
+	left := p.crashes.BlockRemaining(request)
 	if left == 0 {
 		return nil
 	}
@@ -38,7 +38,7 @@
 // isolate waits until no other suspected request runs at the local target, if the request
 // itself is suspected. The returned release must be called in any case.
 func (p *Proxy) isolate(ctx context.Context, meta *attemptMeta) (release func(), refusal *port.Refusal) {
-	if p.crashes.Count(meta.fingerprint) < isolateThreshold {
+	if p.crashes.CrashCount(meta.fingerprint) < isolateThreshold {
 		return func() {}, nil
 	}
 	timer := time.NewTimer(min(meta.maxWait+minBudget, meta.budget))
--- a/internal/proxy/rank.go
+++ b/internal/proxy/rank.go
@@ -58,9 +58,9 @@
 		usual = f.route.TargetLatency / unknownWorkDivisor
 	}
 	if stats := p.stats[member.ID]; stats != nil {
-		return max(usual, stats.Hold(now, usual)), int(work.Bytes)
+		return max(usual, stats.Hold(now, usual)), int(work.ResponseBytes)
 	}
-	return usual, int(work.Bytes)
+	return usual, int(work.ResponseBytes)
 }
 
 // newMeta returns the metadata of an attempt for the target's owner node. The first
--- a/internal/proxy/repeat.go
+++ b/internal/proxy/repeat.go
@@ -68,5 +68,5 @@
 	p.mu.Lock()
 	p.retries.End(p.ports.Clock.Now(), attemptID)
 	p.mu.Unlock()
-	p.gate.Leave(attemptID)
+	p.gate.Release(attemptID)
 }
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -56,7 +56,7 @@
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	expected := stats.Expected(now, &placement.Request{Work: *p.workFor(f.route)}, slowFactor)
+	expected := stats.ExpectedLatency(now, &placement.Request{Route: *p.workFor(f.route)}, slowFactor)
 	return max(expected, f.route.TargetLatency)
 }
 
@@ -81,7 +81,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stats := p.stats[member.ID]
-	return stats != nil && stats.HasRoom(now)
+	return stats != nil && stats.HasFreeSlot(now)
 }
 
 var errSlowerThanHedge = errors.New("another target responded first")
--- a/internal/proxy/terms.go
+++ b/internal/proxy/terms.go
@@ -103,7 +103,7 @@
 func (r *loadReport) write(header http.Header) {
 	header[headerLoad] = []string{strings.Join([]string{
 		strconv.Itoa(r.Running), strconv.Itoa(r.Waiting), strconv.Itoa(r.Slots),
-		strconv.FormatInt(r.Hold.Microseconds(), 10), strconv.FormatFloat(r.Failing, 'f', 2, 64),
+		strconv.FormatInt(r.Hold.Microseconds(), 10), strconv.FormatFloat(r.FailureRate, 'f', 2, 64),
 		strconv.FormatInt(r.holdTime.Microseconds(), 10), strconv.FormatInt(r.nodeTime.Microseconds(), 10),
 		strconv.FormatInt(r.LinkWait.Microseconds(), 10), strconv.FormatInt(int64(r.LinkRate), 10),
 	}, fieldSeparator)}
@@ -130,7 +130,7 @@
 	}
 	micros := func(i int) time.Duration { return time.Duration(numbers[i]) * time.Microsecond }
 	report.Running, report.Waiting, report.Slots = int(numbers[0]), int(numbers[1]), int(numbers[2])
-	report.Hold, report.Failing = micros(3), numbers[4]
+	report.Hold, report.FailureRate = micros(3), numbers[4]
 	report.holdTime, report.nodeTime = micros(5), micros(6)
 	report.LinkWait, report.LinkRate = micros(7), numbers[8]
 	return report, true
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -13,17 +13,17 @@
 off bytes-outside internal/placement/placement.go 's/^const DefaultHalfBytes = 20e3/const DefaultHalfBytes = 0/'
 off second-target-beside-a-slow-one internal/proxy/slow.go 's/^\treturn f.route.Kind.Repeatable() \&\&/\treturn false \&\& f.route.Kind.Repeatable() \&\&/'
 off urgency-of-calls internal/proxy/rank.go 's/^\treturn admission.MaxDepth - steps/\treturn 0 * steps/'
-off room-at-each-target internal/placement/placement.go 's/^\tfullWeight = 0.05/\tfullWeight = 0/'
+off room-at-each-target internal/placement/placement.go 's/^\tutilizationWeight = 0.05/\tutilizationWeight = 0/'
 off random-part-of-a-choice internal/proxy/choose.go 's/^const tieBreak = 0.02/const tieBreak = 0/'
-off ill-targets-avoided internal/placement/placement.go 's/^\tcost += failing \* failing/\tcost += 0 * failing/'
-off cold-targets-avoided internal/placement/placement.go 's/^\tcoldFactor = 2/\tcoldFactor = 1/'
+off ill-targets-avoided internal/placement/placement.go 's/^\tcost += failureRate \* failureRate/\tcost += 0 * failureRate/'
+off cold-targets-avoided internal/placement/placement.go 's/^\tcoldHoldFactor = 2/\tcoldHoldFactor = 1/'
 off signs-of-life internal/proxy/reach.go 's/^\tif !needsPing {/\tif true || !needsPing {/'
 off away-until-probed internal/proxy/reach.go 's/return p.reachability.unreachable\[p.peerAddress(member)\]/return false/'
 off own-speed-in-waits internal/proxy/rank.go 's/if stats := p.stats\[member.ID\]; stats != nil {/if stats := p.stats[member.ID]; false {/'
 off time-behind-a-wait internal/proxy/rank.go 's/^const workMargin = 1.5/const workMargin = 1.0/'
 off repeats internal/proxy/repeat.go 's/if arrivals >= f.route.MaxAttempts {/if true {/'
-off pace-of-large-answers internal/link/link.go 's/return \&Share{rate: share \* bytesPerSecond}/return \&Share{rate: 0 * bytesPerSecond}/'
-off deadline-order-of-large-answers internal/proxy/pace.go 's/turn := \&link.Turn{Due: due}/turn := \&link.Turn{}/'
+off pace-of-large-answers internal/link/link.go 's/return \&Pacer{rate: responseShare \* bytesPerSecond}/return \&Pacer{rate: 0 * bytesPerSecond}/'
+off deadline-order-of-large-answers internal/proxy/pace.go 's/turn := \&link.Transfer{Deadline: due}/turn := \&link.Transfer{}/'
 
 if [ $# -ne 2 ]; then
   printf '%s\n' "${!file[@]}" | sort
