--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		c.log.Warn().Err(err).Msg("overdue connections are left open")
 	}
-	c.meter.Count(port.MetricOverdue, "", ended)
+	c.meter.Count(port.MetricSlowConnections, "", ended)
 }
 
 // watchSettings takes up changed settings, on a signal and without one.
--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -24,7 +24,7 @@
 	body, err := io.ReadAll(r.Body)
 	f(r, body, err)
 	if err != nil {
-		callhttp.WriteError(w, &port.Unknown{Stage: "body", Cause: err})
+		callhttp.WriteError(w, &port.UnknownOutcome{Stage: "body", Cause: err})
 	}
 }
 
--- a/internal/adapter/callhttp/outcome.go
+++ b/internal/adapter/callhttp/outcome.go
@@ -129,5 +129,5 @@
 			Detail:     outcome.Detail,
 		}
 	}
-	return &port.Unknown{Stage: "owner", Cause: errors.New(outcome.Detail)}
+	return &port.UnknownOutcome{Stage: "owner", Cause: errors.New(outcome.Detail)}
 }
--- a/internal/adapter/callhttp/roundtrip.go
+++ b/internal/adapter/callhttp/roundtrip.go
@@ -68,9 +68,9 @@
 	wrote, late := a.end()
 	switch {
 	case wrote && pastDeadline:
-		return &port.Unknown{Stage: stageDeadline, Cause: errFirstByte}
+		return &port.UnknownOutcome{Stage: stageDeadline, Cause: errFirstByte}
 	case wrote:
-		return &port.Unknown{Stage: stageAnswer, Cause: err}
+		return &port.UnknownOutcome{Stage: stageAnswer, Cause: err}
 	case late || pastDeadline:
 		return port.Refuse(port.ReasonDeadline, retryUnreachable, "the deadline passed, or the caller was gone, before the request was sent")
 	}
--- a/internal/adapter/callhttp/roundtrip_test.go
+++ b/internal/adapter/callhttp/roundtrip_test.go
@@ -111,7 +111,7 @@
 			response.Body.Close()
 			call.Target = "/run"
 			_, err = RoundTrip(t.Context(), guarded, ours.base(), call, nil)
-			var unknown *port.Unknown
+			var unknown *port.UnknownOutcome
 			assert.Assert(t, errors.As(err, &unknown), "%v", err)
 			assert.Equal(t, ours.runs.Load(), int32(1))
 		})
--- a/internal/adapter/peerforward/peerforward.go
+++ b/internal/adapter/peerforward/peerforward.go
@@ -73,7 +73,7 @@
 }
 
 // Forward implements port.Forwarder.
-func (c *Client) Forward(ctx context.Context, to membership.VM, call *port.Call) (*port.Answer, error) {
+func (c *Client) Forward(ctx context.Context, to membership.VM, call *port.Call) (*port.Response, error) {
 	response, err := callhttp.RoundTrip(ctx, c.transport, "https://"+to.PeerAddress+Prefix, call, c.headers(call))
 	if err != nil {
 		return nil, err
@@ -85,9 +85,9 @@
 	// a reused connection, would give a caller someone else's return.
 	if id := response.Header.Get(callhttp.HeaderRequestID); id != call.ID {
 		response.Body.Close()
-		return nil, &port.Unknown{Stage: "owner", Cause: errors.Errorf("the owner answered request %q", id)}
+		return nil, &port.UnknownOutcome{Stage: "owner", Cause: errors.Errorf("the owner answered request %q", id)}
 	}
-	return &port.Answer{
+	return &port.Response{
 		Status: response.StatusCode, Header: response.Header,
 		ContentLength: response.ContentLength, Body: response.Body, Owner: to.ID,
 	}, nil
--- a/internal/adapter/peerforward/peerforward_test.go
+++ b/internal/adapter/peerforward/peerforward_test.go
@@ -45,7 +45,7 @@
 
 func (f ownerFunc) Own(w http.ResponseWriter, r *http.Request, call *port.Call) { f(w, r, call) }
 
-func forward(t *testing.T, server, client *peertls.Config, handler http.Handler, body string) (*port.Answer, error) {
+func forward(t *testing.T, server, client *peertls.Config, handler http.Handler, body string) (*port.Response, error) {
 	t.Helper()
 	there := httptest.NewUnstartedServer(handler)
 	there.TLS = server.Server
@@ -88,7 +88,7 @@
 		_, _ = io.WriteString(w, "someone else's")
 	})
 	_, err = forward(t, peer, peer, crossed, "")
-	var unknown *port.Unknown
+	var unknown *port.UnknownOutcome
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 }
 
--- a/internal/adapter/peerforward/terms.go
+++ b/internal/adapter/peerforward/terms.go
@@ -50,7 +50,7 @@
 		termChain:    url.QueryEscape(strings.Join(call.Chain, chainSeparator)),
 		termNoWait:   strconv.FormatBool(call.NoWait),
 		termBudget:   callhttp.FormatMillis(ownerBudget(call.Deadline.Sub(now))),
-		termStall:    callhttp.FormatMillis(call.Stall),
+		termStall:    callhttp.FormatMillis(call.StallTimeout),
 	}
 	return strings.Join(terms[:], termSeparator)
 }
@@ -100,7 +100,7 @@
 		return errors.Wrap(err, "budget")
 	}
 	call.Deadline = now.Add(budget)
-	call.Stall, err = callhttp.ParseMillis(terms[termStall])
+	call.StallTimeout, err = callhttp.ParseMillis(terms[termStall])
 	return errors.Wrap(err, "stall")
 }
 
--- a/internal/adapter/peerforward/terms_test.go
+++ b/internal/adapter/peerforward/terms_test.go
@@ -17,7 +17,7 @@
 	now := time.Unix(1000, 0)
 	call := port.Call{
 		Customer: "Fraser Valley & co", Route: "tallies", Service: "tally", Entry: "vm 1", Chain: []string{"a b", "c;d"}, NoWait: true,
-		Version: snapshot.Version{Epoch: 1, Revision: 7}, Stall: time.Second, Deadline: now.Add(250 * time.Millisecond),
+		Version: snapshot.Version{Epoch: 1, Revision: 7}, StallTimeout: time.Second, Deadline: now.Add(250 * time.Millisecond),
 	}
 	var got port.Call
 	there := now.Add(time.Hour)
@@ -36,7 +36,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var call port.Call
 		if decodeTerms(text, time.Unix(0, 0), &call) == nil {
-			assert.Assert(t, !call.Deadline.Before(time.Unix(0, 0)) && call.Stall >= 0)
+			assert.Assert(t, !call.Deadline.Before(time.Unix(0, 0)) && call.StallTimeout >= 0)
 		}
 	})
 }
--- a/internal/adapter/peerws/bench_test.go
+++ b/internal/adapter/peerws/bench_test.go
@@ -30,7 +30,7 @@
 	client := f.client("vm-1")
 	began := processorTime(b)
 	for b.Loop() {
-		if _, err := client.Ask(b.Context(), to, beatOf("vm-1")); err != nil {
+		if _, err := client.Request(b.Context(), to, beatOf("vm-1")); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -44,7 +44,7 @@
 	client := f.client("vm-1")
 	began := processorTime(b)
 	for b.Loop() {
-		if _, err := client.Ask(b.Context(), to, beatOf("vm-1")); err != nil {
+		if _, err := client.Request(b.Context(), to, beatOf("vm-1")); err != nil {
 			b.Fatal(err)
 		}
 		client.Close()
--- a/internal/adapter/peerws/client.go
+++ b/internal/adapter/peerws/client.go
@@ -65,7 +65,7 @@
 }
 
 // Ask implements port.Peers.
-func (c *Client) Ask(ctx context.Context, to membership.VM, message port.Message) (port.Message, error) {
+func (c *Client) Request(ctx context.Context, to membership.VM, message port.Message) (port.Message, error) {
 	l, err := c.link(ctx, to.PeerAddress)
 	if err != nil {
 		return nil, err
--- a/internal/adapter/peerws/identity.go
+++ b/internal/adapter/peerws/identity.go
@@ -15,7 +15,7 @@
 // that VM would lose its work. What a peer passes on about third VMs is its word
 // only; those refute what is wrong.
 func checkSender(proven string, message port.Message) error {
-	sent, ok := message.(port.Sent)
+	sent, ok := message.(port.SenderMessage)
 	if !ok || sent.Sender() == "" || sent.Sender() == proven {
 		return nil
 	}
--- a/internal/adapter/peerws/peerws_test.go
+++ b/internal/adapter/peerws/peerws_test.go
@@ -110,7 +110,7 @@
 			_ = conn.Write(t.Context(), websocket.MessageBinary, tt.sent)
 			_, _, err := conn.Read(t.Context())
 			assert.Equal(t, websocket.CloseStatus(err), tt.want, "%v", err)
-			_, err = f.client("vm-1").Ask(t.Context(), to, beatOf("vm-1"))
+			_, err = f.client("vm-1").Request(t.Context(), to, beatOf("vm-1"))
 			assert.NilError(t, err)
 		})
 	}
@@ -120,7 +120,7 @@
 func TestAnswerInAnotherNameIsDropped(t *testing.T) {
 	f := newFleet(t)
 	to := f.serve("vm-2", answering("vm-7"))
-	_, err := f.client("vm-1").Ask(t.Context(), to, beatOf("vm-1"))
+	_, err := f.client("vm-1").Request(t.Context(), to, beatOf("vm-1"))
 	assert.Check(t, errors.Is(err, port.ErrUnreachable), "%v", err)
 }
 
@@ -161,7 +161,7 @@
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	_, err = f.client("vm-3").Ask(t.Context(), to, beatOf("vm-3"))
+	_, err = f.client("vm-3").Request(t.Context(), to, beatOf("vm-3"))
 	assert.NilError(t, err)
 	assert.Equal(t, most.Load(), int64(maxInFlight))
 	close(release)
@@ -176,15 +176,15 @@
 	relay, hold := newRelay(t, to.PeerAddress)
 	client := f.client("vm-1")
 	via := membership.VM{ID: "vm-2", PeerAddress: relay}
-	_, err := client.Ask(t.Context(), via, beatOf("vm-1"))
+	_, err := client.Request(t.Context(), via, beatOf("vm-1"))
 	assert.NilError(t, err)
 	hold.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), halfOpenAfter+100*time.Millisecond)
 	defer cancel()
-	_, err = client.Ask(ctx, via, beatOf("vm-1"))
+	_, err = client.Request(ctx, via, beatOf("vm-1"))
 	assert.Check(t, errors.Is(err, port.ErrUnreachable))
 	hold.Store(false)
-	_, err = client.Ask(t.Context(), via, beatOf("vm-1"))
+	_, err = client.Request(t.Context(), via, beatOf("vm-1"))
 	assert.NilError(t, err)
 }
 
@@ -239,7 +239,7 @@
 	assert.NilError(t, err)
 	for i := range MaxLinks + 5 {
 		relay, _ := newRelay(t, net.JoinHostPort("127.0.0.1", port))
-		_, err := client.Ask(t.Context(), membership.VM{PeerAddress: relay}, beatOf("vm-1"))
+		_, err := client.Request(t.Context(), membership.VM{PeerAddress: relay}, beatOf("vm-1"))
 		assert.NilError(t, err, "peer %d", i)
 		assert.Assert(t, client.Open() <= MaxLinks)
 	}
@@ -252,7 +252,7 @@
 	var ahead atomic.Int64
 	client := NewClient(f.config("vm-1"), func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
 	t.Cleanup(client.Close)
-	_, err := client.Ask(t.Context(), to, beatOf("vm-1"))
+	_, err := client.Request(t.Context(), to, beatOf("vm-1"))
 	assert.NilError(t, err)
 	client.CloseIdle()
 	assert.Equal(t, client.Open(), 1)
--- a/internal/adapter/targethttp/targethttp.go
+++ b/internal/adapter/targethttp/targethttp.go
@@ -55,7 +55,7 @@
 }
 
 // Do implements port.Target.
-func (t *Target) Do(ctx context.Context, call *port.Call) (*port.Answer, error) {
+func (t *Target) Do(ctx context.Context, call *port.Call) (*port.Response, error) {
 	// What is left of the deadline, and the chain of the calls that the target
 	// makes for this one: it passes both on to its own node.
 	extra := http.Header{
@@ -76,7 +76,7 @@
 		response.Body.Close()
 		return nil, err
 	}
-	return &port.Answer{
+	return &port.Response{
 		Status: response.StatusCode, Header: response.Header,
 		ContentLength: response.ContentLength, Body: response.Body,
 	}, nil
@@ -95,10 +95,10 @@
 // target that names the request it answers must name this one.
 func checkAnswer(call *port.Call, response *http.Response) error {
 	if id := response.Header.Get(callhttp.HeaderRequestID); id != "" && id != call.ID {
-		return &port.Unknown{Stage: "answer", Cause: errors.Errorf("the target answered request %s", id)}
+		return &port.UnknownOutcome{Stage: "answer", Cause: errors.Errorf("the target answered request %s", id)}
 	}
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 && call.Method != http.MethodHead {
-		return &port.Unknown{Stage: "answer", Cause: errors.New("the answer has neither a length nor chunks, so its end can't be known")}
+		return &port.UnknownOutcome{Stage: "answer", Cause: errors.New("the answer has neither a length nor chunks, so its end can't be known")}
 	}
 	return nil
 }
--- a/internal/adapter/targethttp/targethttp_test.go
+++ b/internal/adapter/targethttp/targethttp_test.go
@@ -17,7 +17,7 @@
 	"tamarackquay/internal/port"
 )
 
-func do(t *testing.T, address string) (*port.Answer, error) {
+func do(t *testing.T, address string) (*port.Response, error) {
 	t.Helper()
 	target := New(address, 10)
 	t.Cleanup(func() { target.Close() })
@@ -55,7 +55,7 @@
 			defer server.Close()
 			answer, err := do(t, strings.TrimPrefix(server.URL, "http://"))
 			var refusal *port.Refusal
-			var unknown *port.Unknown
+			var unknown *port.UnknownOutcome
 			assert.Equal(t, errors.As(err, &refusal), c.refused != "", "%v", err)
 			assert.Equal(t, errors.As(err, &unknown), c.unknown, "%v", err)
 			if err == nil {
@@ -89,6 +89,6 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nhalf")
 	}()
 	_, err = do(t, listener.Addr().String())
-	var unknown *port.Unknown
+	var unknown *port.UnknownOutcome
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 }
--- a/internal/changes/changes.go
+++ b/internal/changes/changes.go
@@ -48,7 +48,7 @@
 
 // Between returns all changes from before to after, services first, then
 // customers by name.
-func Between(before, after *contract.Set) []Change {
+func Diff(before, after *contract.Set) []Change {
 	c := &comparison{before: before, after: after}
 	c.services()
 	c.customers()
@@ -209,11 +209,11 @@
 		return text
 	}
 	total := g.service.CommittedUpstreams() * g.service.Slots
-	return fmt.Sprintf("%s (%s of %d slots)", text, Slots(part*float64(total)), total)
+	return fmt.Sprintf("%s (%s of %d slots)", text, FormatSlots(part*float64(total)), total)
 }
 
 // Slots renders a number of slots, with at most two decimals.
-func Slots(n float64) string {
+func FormatSlots(n float64) string {
 	text := strconv.FormatFloat(n, 'f', 2, 64)
 	return strings.TrimSuffix(strings.TrimRight(text, "0"), ".")
 }
--- a/internal/changes/changes_test.go
+++ b/internal/changes/changes_test.go
@@ -40,7 +40,7 @@
 			name := value.Type().Field(i).Name
 			t.Run(resource.desc+"/"+name, func(t *testing.T) {
 				alter(t, value.Field(i))
-				assert.Check(t, len(Between(&before, &after)) > 0)
+				assert.Check(t, len(Diff(&before, &after)) > 0)
 			})
 		}
 	}
@@ -75,5 +75,5 @@
 
 func TestNothingChangedIsNothing(t *testing.T) {
 	before, after := example(), example()
-	assert.Equal(t, len(Between(&before, &after)), 0)
+	assert.Equal(t, len(Diff(&before, &after)), 0)
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -109,7 +109,7 @@
 }
 
 // ReadLocated is ReadContracts with the place of each service and contract.
-func ReadLocated(dir string) (*contract.Set, contract.Places, finding.List) {
+func ReadLocated(dir string) (*contract.Set, contract.Locations, finding.List) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err == nil && len(names) == 0 {
 		err = errors.New("no .toml file in it")
@@ -128,7 +128,7 @@
 		}
 		sources = append(sources, contract.Source{Name: name, Text: text})
 	}
-	set, places, faults := contract.ParseLocated(sources)
+	set, places, faults := contract.ParseWithLocations(sources)
 	return set, places, append(found, faults...)
 }
 
--- a/internal/command/diff/diff.go
+++ b/internal/command/diff/diff.go
@@ -52,7 +52,7 @@
 		return command.PrintFindings(c.OutOrStdout(), format, found)
 	}
 	r := report{Before: before.Describe(), After: after.Describe(),
-		Changes: append([]changes.Change{}, changes.Between(before.Set, after.Set)...)}
+		Changes: append([]changes.Change{}, changes.Diff(before.Set, after.Set)...)}
 	if format == command.FormatJSON {
 		return command.PrintJSON(c.OutOrStdout(), r)
 	}
--- a/internal/command/published/published.go
+++ b/internal/command/published/published.go
@@ -33,7 +33,7 @@
 	Name string
 	Set  *contract.Set
 	// Places is nil for published versions, which carry no files.
-	Places contract.Places
+	Places contract.Locations
 	// Manifest is nil for directories of contracts.
 	Manifest *snapshot.Manifest
 }
--- a/internal/command/trace/trace.go
+++ b/internal/command/trace/trace.go
@@ -135,8 +135,8 @@
 // first are the fields that are shown first, in this order; the others follow by
 // name.
 var first = []string{
-	logfield.Outcome, logfield.Reason, logfield.Status, logfield.Target, logfield.Believed, logfield.BelievedAge,
-	logfield.After, logfield.Left, logfield.RetryAfter,
+	logfield.Outcome, logfield.Reason, logfield.Status, logfield.Target, logfield.ReportedLoad, logfield.ReportedLoadAge,
+	logfield.Elapsed, logfield.TimeLeft, logfield.RetryAfter,
 }
 
 func printText(w io.Writer, lines []Line) error {
--- a/internal/contract/agree_test.go
+++ b/internal/contract/agree_test.go
@@ -44,7 +44,7 @@
 		}
 		slices.Reverse(set.Contracts)
 		slices.Reverse(set.Services)
-		assert.NilError(t, contract.Check(set, contract.NoPlaces{}).AsError())
+		assert.NilError(t, contract.Check(set, contract.NoLocations{}).AsError())
 		publication, err := snapshot.Build(set, snapshot.Origin{Version: snapshot.Version{Epoch: 1, Revision: 1}})
 		if err != nil {
 			return // told to the operator by the build, before publication
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -33,7 +33,7 @@
 	MaxSlots       = 10_000
 	MaxConnections = 65_535
 	MaxUpstreams   = 10_000
-	MaxWait        = time.Hour
+	MaxTimeout     = time.Hour
 )
 
 var (
@@ -43,33 +43,33 @@
 
 // Place tells a finding's file and line. Sets that were read from files know
 // both; sets received as parts know neither.
-type Place func(key string) (file string, line int)
+type Locator func(key string) (file string, line int)
 
 // Places finds the place of each resource of a set by its index.
-type Places interface {
-	Service(index int) Place
-	Contract(index int) Place
+type Locations interface {
+	Service(index int) Locator
+	Contract(index int) Locator
 }
 
 // NoPlaces is for sets that were not read from files.
-type NoPlaces struct{}
+type NoLocations struct{}
 
 // Service returns a place that names the resource's kind only.
-func (NoPlaces) Service(int) Place { return func(string) (string, int) { return "service", 0 } }
+func (NoLocations) Service(int) Locator { return func(string) (string, int) { return "service", 0 } }
 
 // Contract returns a place that names the resource's kind only.
-func (NoPlaces) Contract(int) Place { return func(string) (string, int) { return "contract", 0 } }
+func (NoLocations) Contract(int) Locator { return func(string) (string, int) { return "contract", 0 } }
 
 // checker collects the findings of one set.
 type checker struct {
 	set    *Set
-	places Places
+	places Locations
 	found  finding.List
 }
 
 // Check returns every reason why the set could not be honoured. It is
 // deterministic, so all nodes agree on whether a version is good.
-func Check(set *Set, places Places) finding.List {
+func Check(set *Set, places Locations) finding.List {
 	c := &checker{set: set, places: places}
 	c.services()
 	c.contracts()
@@ -78,7 +78,7 @@
 	return c.found
 }
 
-func (c *checker) add(place Place, code finding.Code, key, hint, format string, args ...any) {
+func (c *checker) add(place Locator, code finding.Code, key, hint, format string, args ...any) {
 	file, line := place(key)
 	c.found = append(c.found, finding.Finding{
 		Code: code, File: file, Line: line, Key: key,
@@ -86,7 +86,7 @@
 	})
 }
 
-func (c *checker) name(place Place, key, value string) {
+func (c *checker) name(place Locator, key, value string) {
 	if value == "" {
 		c.add(place, CodeMissing, key, "give it a name", "a name is required")
 		return
@@ -98,7 +98,7 @@
 
 // part finds numbers that are no part of a whole. It is written as "not inside"
 // so that NaN, which compares false with everything, is outside as well.
-func (c *checker) part(place Place, key string, value float64) bool {
+func (c *checker) part(place Locator, key string, value float64) bool {
 	if value >= 0 && value <= 1 {
 		return true
 	}
@@ -108,13 +108,13 @@
 
 // wait finds times that are negative or absurdly long; zero is let through
 // where the key may be left out.
-func (c *checker) wait(place Place, key string, value time.Duration, mayBeZero bool) {
-	if value > MaxWait || value < 0 || value == 0 && !mayBeZero {
-		c.add(place, CodeOutOfRange, key, `give a time such as "2s"`, "%s must be above zero and at most %s", value, MaxWait)
+func (c *checker) wait(place Locator, key string, value time.Duration, mayBeZero bool) {
+	if value > MaxTimeout || value < 0 || value == 0 && !mayBeZero {
+		c.add(place, CodeOutOfRange, key, `give a time such as "2s"`, "%s must be above zero and at most %s", value, MaxTimeout)
 	}
 }
 
-func (c *checker) count(place Place, key string, value, most int) {
+func (c *checker) count(place Locator, key string, value, most int) {
 	if value < 1 || value > most {
 		c.add(place, CodeOutOfRange, key, fmt.Sprintf("give 1 to %d", most), "%s is %d", key, value)
 	}
--- a/internal/contract/check_contract.go
+++ b/internal/contract/check_contract.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func (c *checker) tokens(place Place, contract *Contract, owners map[string]string) {
+func (c *checker) tokens(place Locator, contract *Contract, owners map[string]string) {
 	if len(contract.TokenHashes) == 0 {
 		c.add(place, CodeMissing, "token_hashes", "make one with 'tamarackctl token'", "no caller could prove itself")
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-func (c *checker) classes(place Place, contract *Contract) {
+func (c *checker) classes(place Locator, contract *Contract) {
 	if len(contract.Classes) == 0 {
 		c.add(place, CodeMissing, "classes", "name at least one class", "a contract needs a class")
 	}
--- a/internal/contract/check_grant.go
+++ b/internal/contract/check_grant.go
@@ -17,7 +17,7 @@
 // grantKey names a field of the contract's grant at index i.
 func grantKey(i int, field string) string { return fmt.Sprintf("grant[%d].%s", i, field) }
 
-func (c *checker) grants(place Place, contract *Contract) {
+func (c *checker) grants(place Locator, contract *Contract) {
 	seen := map[string]bool{}
 	for i := range contract.Grants {
 		grant := &contract.Grants[i]
@@ -36,7 +36,7 @@
 }
 
 // grantParts checks a grant's numbers by themselves.
-func (c *checker) grantParts(place Place, i int, grant *Grant) bool {
+func (c *checker) grantParts(place Locator, i int, grant *Grant) bool {
 	shareOK := c.part(place, grantKey(i, "share"), grant.Share)
 	limitOK := c.part(place, grantKey(i, "limit"), grant.Limit)
 	longOK := c.part(place, grantKey(i, "long_limit"), grant.LongLimit)
@@ -58,7 +58,7 @@
 // grantSlots checks what the parts come to at one target, with the rounding
 // that admission applies: a limit is rounded down to whole slots, so that it is
 // never passed, and must still leave room for the guarantee.
-func (c *checker) grantSlots(place Place, i int, grant *Grant, slots int) {
+func (c *checker) grantSlots(place Locator, i int, grant *Grant, slots int) {
 	limit := admission.FloorSlots(grant.Limit, slots)
 	guaranteed := grant.Share * float64(slots)
 	switch {
@@ -91,7 +91,7 @@
 func (c *checker) commitments() {
 	type sum struct {
 		units int64
-		place Place
+		place Locator
 		key   string
 	}
 	sums := map[string]*sum{}
--- a/internal/contract/check_route.go
+++ b/internal/contract/check_route.go
@@ -17,7 +17,7 @@
 	"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS",
 }
 
-func (c *checker) routes(place Place, contract *Contract) {
+func (c *checker) routes(place Locator, contract *Contract) {
 	names := map[string]bool{}
 	prefixes := map[string]string{}
 	for i := range contract.Routes {
@@ -32,11 +32,11 @@
 		c.methods(place, route, key)
 		c.routeTargets(place, contract, route, key)
 		c.wait(place, key("deadline"), route.Deadline.Std(), false)
-		c.wait(place, key("stall"), route.Stall.Std(), false)
+		c.wait(place, key("stall"), route.StallTimeout.Std(), false)
 	}
 }
 
-func (c *checker) routeTargets(place Place, contract *Contract, route *Route, key func(string) string) {
+func (c *checker) routeTargets(place Locator, contract *Contract, route *Route, key func(string) string) {
 	if c.set.Service(route.Service) == nil {
 		c.add(place, CodeUnknownService, key("service"), "name a service of this set", "there is no service %q", route.Service)
 	} else if contract.Grant(route.Service) == nil {
@@ -55,7 +55,7 @@
 // prefix finds paths that no request can have, and two prefixes that differ only
 // in the closing slash: one would serve a single path, which nobody means. A
 // longer prefix below a shorter one is fine: the longest match wins.
-func (c *checker) prefix(place Place, key, prefix string, seen map[string]string) {
+func (c *checker) prefix(place Locator, key, prefix string, seen map[string]string) {
 	if !prefixPattern.MatchString(prefix) {
 		c.add(place, CodeBadPrefix, key, "write an absolute path without query or escapes, such as /tallies", "prefix %q is no path", prefix)
 		return
@@ -79,7 +79,7 @@
 	seen[same] = prefix
 }
 
-func (c *checker) methods(place Place, route *Route, key func(string) string) {
+func (c *checker) methods(place Locator, route *Route, key func(string) string) {
 	for i, method := range route.Methods {
 		at := fmt.Sprintf("%s[%d]", key("methods"), i)
 		if !slices.Contains(forwardedMethods, method) {
--- a/internal/contract/check_service.go
+++ b/internal/contract/check_service.go
@@ -15,12 +15,12 @@
 		c.count(place, "slots", service.Slots, MaxSlots)
 		c.count(place, "max_connections", service.MaxConnections, MaxConnections)
 		c.wait(place, "slow_start", service.SlowStart.Std(), true)
-		c.part(place, "long_lent", service.LongLentPart())
+		c.part(place, "long_lent", service.LongBorrowLimitOrDefault())
 		c.committed(place, service)
 	}
 }
 
-func (c *checker) committed(place Place, service *Service) {
+func (c *checker) committed(place Locator, service *Service) {
 	committed := false
 	for domain, n := range service.Committed {
 		committed = committed || n > 0
--- a/internal/contract/check_test.go
+++ b/internal/contract/check_test.go
@@ -20,7 +20,7 @@
 			Customer: "co-operative", TokenHashes: []string{HashToken("token")}, Classes: []string{"crew"},
 			Grants: []Grant{{Service: "tally", Share: 0.6, Limit: 1}},
 			Routes: []Route{{Name: "tallies", Prefix: "/tallies", Service: "tally", Class: "crew",
-				Deadline: tomlfile.Duration(time.Second), Stall: tomlfile.Duration(time.Second)}},
+				Deadline: tomlfile.Duration(time.Second), StallTimeout: tomlfile.Duration(time.Second)}},
 		}},
 	}
 }
@@ -41,8 +41,8 @@
 		want  []finding.Code
 	}{
 		{"nothing wrong", func(*Set, *Contract, *Service) {}, nil},
-		{"long lent part", func(_ *Set, _ *Contract, s *Service) { s.LongLent = &half }, nil},
-		{"long lent not a number", func(_ *Set, _ *Contract, s *Service) { s.LongLent = &nan }, []finding.Code{CodeOutOfRange}},
+		{"long lent part", func(_ *Set, _ *Contract, s *Service) { s.LongBorrowLimit = &half }, nil},
+		{"long lent not a number", func(_ *Set, _ *Contract, s *Service) { s.LongBorrowLimit = &nan }, []finding.Code{CodeOutOfRange}},
 		{"no slots", func(_ *Set, _ *Contract, s *Service) { s.Slots = 0 }, []finding.Code{CodeOutOfRange}},
 		{"huge slots", func(_ *Set, _ *Contract, s *Service) { s.Slots = 1 << 40 }, []finding.Code{CodeOutOfRange}},
 		{"huge commitment", func(_ *Set, _ *Contract, s *Service) { s.Committed["north-1"] = math.MaxInt }, []finding.Code{CodeOutOfRange}},
@@ -89,13 +89,13 @@
 			c.Routes = append(c.Routes, other)
 		}, nil},
 		{"endless deadline", func(_ *Set, c *Contract, _ *Service) { c.Routes[0].Deadline = math.MaxInt64 }, []finding.Code{CodeOutOfRange}},
-		{"no stall", func(_ *Set, c *Contract, _ *Service) { c.Routes[0].Stall = 0 }, []finding.Code{CodeOutOfRange}},
+		{"no stall", func(_ *Set, c *Contract, _ *Service) { c.Routes[0].StallTimeout = 0 }, []finding.Code{CodeOutOfRange}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.desc, func(t *testing.T) {
 			set := goodSet()
 			tc.spoil(set, &set.Contracts[0], &set.Services[0])
-			assert.DeepEqual(t, codes(Check(set, NoPlaces{})), tc.want)
+			assert.DeepEqual(t, codes(Check(set, NoLocations{})), tc.want)
 		})
 	}
 }
@@ -115,7 +115,7 @@
 			c.Grants = []Grant{{Service: "tally", Share: shares[(i+shift)%len(shares)], Limit: 1}}
 			set.Contracts = append(set.Contracts, c)
 		}
-		for _, f := range Check(set, NoPlaces{}) {
+		for _, f := range Check(set, NoLocations{}) {
 			assert.Check(t, f.Code != CodeOvercommitted, "shift %d: %s", shift, f)
 		}
 	}
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -29,20 +29,20 @@
 	// LongLent is the part of the slots guaranteed to customers that long
 	// requests of other customers may borrow, 0 to 1. Such a slot comes back
 	// only after minutes. Absent means DefaultLongLent.
-	LongLent *float64 `toml:"long_lent" cbor:"long_lent,omitempty"`
+	LongBorrowLimit *float64 `toml:"long_lent" cbor:"long_lent,omitempty"`
 }
 
 // DefaultLongLent lends nothing: with a quarter, customers that paused were
 // kept to 0.75 of their contract when they came back
 // (docs/measurements/admission.md).
-const DefaultLongLent = 0.0
+const DefaultLongBorrowLimit = 0.0
 
 // LongLentPart is LongLent or its default.
-func (s *Service) LongLentPart() float64 {
-	if s.LongLent == nil {
-		return DefaultLongLent
+func (s *Service) LongBorrowLimitOrDefault() float64 {
+	if s.LongBorrowLimit == nil {
+		return DefaultLongBorrowLimit
 	}
-	return *s.LongLent
+	return *s.LongBorrowLimit
 }
 
 // CommittedUpstreams is the number of upstreams paid for over all domains.
@@ -94,7 +94,7 @@
 	// Deadline bounds the time from arrival to the first byte of the answer.
 	Deadline tomlfile.Duration `toml:"deadline" cbor:"deadline"`
 	// Stall bounds the time between two bytes of the answer's body.
-	Stall tomlfile.Duration `toml:"stall" cbor:"stall"`
+	StallTimeout tomlfile.Duration `toml:"stall" cbor:"stall"`
 	// Long marks requests that hold a slot for minutes; admission bounds how
 	// many lent slots they may take.
 	Long bool `toml:"long" cbor:"long"`
--- a/internal/contract/parse.go
+++ b/internal/contract/parse.go
@@ -22,24 +22,24 @@
 
 // filePlaces finds lines in the files that a set was read from.
 type filePlaces struct {
-	services  []Place
-	contracts []Place
+	services  []Locator
+	contracts []Locator
 }
 
-func (p *filePlaces) Service(i int) Place  { return p.services[i] }
-func (p *filePlaces) Contract(i int) Place { return p.contracts[i] }
+func (p *filePlaces) Service(i int) Locator  { return p.services[i] }
+func (p *filePlaces) Contract(i int) Locator { return p.contracts[i] }
 
 // Parse reads and checks a whole set of files. The set is complete only when
 // no findings are returned; findings of form and of meaning come together, so
 // that one run tells all that must be mended.
 func Parse(sources []Source) (*Set, finding.List) {
-	set, _, found := ParseLocated(sources)
+	set, _, found := ParseWithLocations(sources)
 	return set, found
 }
 
 // ParseLocated is Parse for callers that also want to name the file and line of
 // what stands in the set.
-func ParseLocated(sources []Source) (*Set, Places, finding.List) {
+func ParseWithLocations(sources []Source) (*Set, Locations, finding.List) {
 	set := &Set{}
 	places := &filePlaces{}
 	var found finding.List
@@ -82,7 +82,7 @@
 	return kept
 }
 
-func placeIn(file string, lines tomlfile.Lines, kind string, index int) Place {
+func placeIn(file string, lines tomlfile.Lines, kind string, index int) Locator {
 	prefix := fmt.Sprintf("%s[%d]", kind, index)
 	return func(key string) (string, int) { return file, lines.Of(prefix + "." + key) }
 }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -258,7 +258,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, count[Apply](feed(s, start, restored)), 1)
 	assert.Equal(t, count[Apply](feed(s, start, build(t, 10, 3, snapshot.Hash{}, "tally"))), 0)
-	assert.Equal(t, len(contract.Check(s.Applied().Set(), contract.NoPlaces{})), 0)
+	assert.Equal(t, len(contract.Check(s.Applied().Set(), contract.NoLocations{})), 0)
 }
 
 // The platform failed many times to give the parts of a broken version. The
--- a/internal/distribution/property_test.go
+++ b/internal/distribution/property_test.go
@@ -110,7 +110,7 @@
 			assert.Assert(w.t, applied.Service(route.Service) != nil, "route to missing service %s", route.Service)
 		}
 	}
-	assert.Equal(w.t, len(contract.Check(applied.Set(), contract.NoPlaces{})), 0)
+	assert.Equal(w.t, len(contract.Check(applied.Set(), contract.NoLocations{})), 0)
 }
 
 func (w *world) checkBounds(s *State) {
--- a/internal/distribution/world_test.go
+++ b/internal/distribution/world_test.go
@@ -72,7 +72,7 @@
 			Customer: name, TokenHashes: []string{contract.HashToken(name)}, Classes: []string{"crew"},
 			Grants: []contract.Grant{{Service: "tally", Share: 0.3, Limit: 1}},
 			Routes: []contract.Route{{Name: "tallies", Prefix: "/", Service: service, Class: "crew",
-				Deadline: tomlfile.Duration(deadline), Stall: tomlfile.Duration(time.Second)}},
+				Deadline: tomlfile.Duration(deadline), StallTimeout: tomlfile.Duration(time.Second)}},
 		})
 	}
 	return set
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -96,7 +96,7 @@
 type Input struct {
 	Set *contract.Set
 	// Places may be nil: published versions carry no files.
-	Places contract.Places
+	Places contract.Locations
 	// Members are what a node sees, or nil.
 	Members []membership.Record
 	// Regions gives the region of failure domains that are known.
@@ -170,7 +170,7 @@
 	return placeText(e.Places.Service(index))
 }
 
-func placeText(place contract.Place) func(string) string {
+func placeText(place contract.Locator) func(string) string {
 	return func(key string) string {
 		file, line := place(key)
 		return fmt.Sprintf("%s:%d", file, line)
@@ -224,7 +224,7 @@
 		Name: route.Name, Place: key("name"), Prefix: route.Prefix, Service: route.Service,
 		Class:    Sourced{fmt.Sprintf("%s, place %d of %d in the queue's order", route.Class, rank+1, len(e.terms.Classes)), key("class")},
 		Deadline: Sourced{route.Deadline.Std().String() + " to the first byte", key("deadline")},
-		Stall:    Sourced{route.Stall.Std().String() + " between two bytes", key("stall")},
+		Stall:    Sourced{route.StallTimeout.Std().String() + " between two bytes", key("stall")},
 		Runs:     Sourced{runs(route), key("idempotent")},
 		Spill:    Sourced{string(cmp.Or(route.Spill, contract.SpillAnywhere)), key("spill")},
 		Reach:    e.reach(route),
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -248,7 +248,7 @@
 		return
 	}
 	if !f.lostAt.IsZero() {
-		f.log.Info().Int64(logfield.After, now.Sub(f.lostAt).Milliseconds()).Uint64(logfield.Revision, f.revision).Msg("platform regained")
+		f.log.Info().Int64(logfield.Elapsed, now.Sub(f.lostAt).Milliseconds()).Uint64(logfield.Revision, f.revision).Msg("platform regained")
 		f.lostAt = time.Time{}
 	}
 }
--- a/internal/follow/states.go
+++ b/internal/follow/states.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		line := f.log.Info().Str(logfield.Target, id).Str(logfield.State, is.state).Str(logfield.Before, was.state).
-			Int64(logfield.ViewAge, age.Milliseconds()).Int64(logfield.Late, late.Milliseconds())
+			Int64(logfield.ViewAge, age.Milliseconds()).Int64(logfield.UpdateDelay, late.Milliseconds())
 		if is.state == stateLapsed {
 			line = line.Int64(logfield.UsableFor, is.usableUntil.Sub(now).Milliseconds())
 		}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -116,7 +116,7 @@
 		for _, id := range []string{"one", "two"} {
 			assert.Check(t, g.Enter(t.Context(), gateRequest(id, time.Minute)) == nil)
 		}
-		g.Observe(&port.Unknown{Stage: "answer"})
+		g.Observe(&port.UnknownOutcome{Stage: "answer"})
 		assert.Equal(t, g.queue.Slots(), 2)
 		g.Observe(port.Refuse(port.ReasonShed, 0, "shed"))
 		g.Leave("two")
--- a/internal/logfield/logfield.go
+++ b/internal/logfield/logfield.go
@@ -25,13 +25,13 @@
 	Arrivals Name = "arrivals"
 	Status   Name = "status"
 	// After is the time since the request was read, in milliseconds.
-	After Name = "after_ms"
+	Elapsed Name = "after_ms"
 	// RetryAfter is when the caller was asked to come back, in milliseconds.
 	RetryAfter Name = "retry_after_ms"
 	// Left is what was left of the time for the request, in milliseconds.
-	Left Name = "left_ms"
+	TimeLeft Name = "left_ms"
 	// CallerGone says that the caller had closed its connection.
-	CallerGone Name = "caller_gone"
+	CallerDisconnected Name = "caller_gone"
 	// Version is the configuration's version that the request was routed by.
 	Version Name = "version"
 	// ViewAge is how old the node's view of the mesh was, in milliseconds.
@@ -40,9 +40,9 @@
 	TargetRevision Name = "target_revision"
 	// Believed is the load by which the target was chosen, running/waiting/slots,
 	// and BelievedAge how old that word was, in milliseconds.
-	Believed    Name = "believed_load"
-	BelievedAge Name = "believed_age_ms"
-	Error       Name = "error"
+	ReportedLoad    Name = "believed_load"
+	ReportedLoadAge Name = "believed_age_ms"
+	Error           Name = "error"
 )
 
 // Fields of lines on what a process believes.
@@ -60,7 +60,7 @@
 	Running     Name = "running"
 	// Late is how long an update was in transit, in milliseconds: since the platform
 	// answered, or beyond the quickest message of the feed.
-	Late Name = "late_ms"
+	UpdateDelay Name = "late_ms"
 	// UsableFor is for how long a target stays in use whose entry is gone, in
 	// milliseconds.
 	UsableFor Name = "usable_ms"
@@ -80,5 +80,5 @@
 	// Failed: an attempt failed or was refused; another may follow.
 	Failed Ending = "failed"
 	// BrokenOff: the answer broke while it was passed on.
-	BrokenOff Ending = "broken-off"
+	Interrupted Ending = "broken-off"
 )
--- a/internal/node/choice_test.go
+++ b/internal/node/choice_test.go
@@ -43,7 +43,7 @@
 	spread *rand.Rand
 }
 
-func (s *sixTargets) answer(_ context.Context, _ int, to membership.VM, call *port.Call) (*port.Answer, error) {
+func (s *sixTargets) answer(_ context.Context, _ int, to membership.VM, call *port.Call) (*port.Response, error) {
 	s.mu.Lock()
 	took := time.Duration(s.spread.ExpFloat64() * float64(serviceTime))
 	s.mu.Unlock()
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -21,7 +21,7 @@
 // delivery is an answer on its way to the caller. Release must be called once
 // when its body has been passed on or given up.
 type delivery struct {
-	answer  *port.Answer
+	answer  *port.Response
 	release func()
 }
 
@@ -232,7 +232,7 @@
 	if f.choose(f.node.ports.Clock.Now(), f.least) == nil || !f.again() {
 		return false
 	}
-	f.unknown = &port.Unknown{Stage: "answer", Cause: errors.Errorf("the target answered with status %d", d.answer.Status)}
+	f.unknown = &port.UnknownOutcome{Stage: "answer", Cause: errors.Errorf("the target answered with status %d", d.answer.Status)}
 	return true
 }
 
@@ -258,7 +258,7 @@
 
 // offer runs the call on the VM's target, through its owner node. The returned
 // function must be called once the answer's body is done with.
-func (n *Node) offer(ctx context.Context, t *target, call *port.Call) (*port.Answer, func(), error) {
+func (n *Node) offer(ctx context.Context, t *target, call *port.Call) (*port.Response, func(), error) {
 	if t.vm.ID == n.config.Self.ID {
 		return n.own(ctx, call)
 	}
@@ -266,6 +266,6 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	answer.Body = newStallReader(answer.Body, call.Stall)
+	answer.Body = newStallReader(answer.Body, call.StallTimeout)
 	return answer, func() { answer.Body.Close() }, nil
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -20,7 +20,7 @@
 	offered  int
 }
 
-func (d *drainingTarget) Do(context.Context, *port.Call) (*port.Answer, error) {
+func (d *drainingTarget) Do(context.Context, *port.Call) (*port.Response, error) {
 	d.offered++
 	if d.draining {
 		return nil, port.Refuse(port.ReasonShed, time.Second, "draining")
@@ -45,7 +45,7 @@
 			time.Sleep(10 * time.Millisecond)
 			_, done, err := n.own(t.Context(), &port.Call{
 				ID: fmt.Sprint(call), Customer: "co-operative", Route: "tallies", Service: "tally",
-				Stall: time.Second, Deadline: time.Now().Add(time.Second),
+				StallTimeout: time.Second, Deadline: time.Now().Add(time.Second),
 			})
 			if err == nil {
 				done()
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -59,7 +59,7 @@
 	defer func() { d.release() }()
 	n.ports.Meter.Count(port.MetricAnswered, route.Name, 1)
 	w.Header().Set(callhttp.HeaderOwner, d.answer.Owner)
-	passAnswer(w, call.Method, d.answer, call.Stall)
+	passAnswer(w, call.Method, d.answer, call.StallTimeout)
 }
 
 // takeBody keeps a small body before any target is asked: a caller that sends
@@ -161,7 +161,7 @@
 		Deadline:      n.deadline(route, r),
 		Entry:         n.config.Self.ID,
 		Chain:         callhttp.ParseChain(r.Header),
-		Stall:         route.Stall.Std(),
+		StallTimeout:  route.StallTimeout.Std(),
 		Method:        r.Method,
 		Target:        r.URL.RequestURI(),
 		Header:        withoutToken(r.Header),
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -126,7 +126,7 @@
 func (n *Node) askSync(ctx context.Context, vm membership.VM, request port.SyncRequest) (port.SyncReply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	answer, err := n.ports.Peers.Ask(ctx, vm, request)
+	answer, err := n.ports.Peers.Request(ctx, vm, request)
 	if err != nil {
 		return port.SyncReply{}, false
 	}
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -91,7 +91,7 @@
 func (n *Node) exchange(ctx context.Context, vm membership.VM) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.probeTimeout())
 	defer cancel()
-	answer, err := n.ports.Peers.Ask(ctx, vm, n.heartbeat(vm.FailureDomain))
+	answer, err := n.ports.Peers.Request(ctx, vm, n.heartbeat(vm.FailureDomain))
 	if err != nil {
 		return false
 	}
@@ -123,7 +123,7 @@
 func (n *Node) askHelper(ctx context.Context, helper, vm membership.VM) *port.ProbeReply {
 	ctx, cancel := context.WithTimeout(ctx, 2*n.probeTimeout())
 	defer cancel()
-	answer, err := n.ports.Peers.Ask(ctx, helper, port.ProbeRequest{From: n.config.Self.ID, VM: vm})
+	answer, err := n.ports.Peers.Request(ctx, helper, port.ProbeRequest{From: n.config.Self.ID, VM: vm})
 	if err != nil {
 		return nil
 	}
--- a/internal/node/memberaudit.go
+++ b/internal/node/memberaudit.go
@@ -49,7 +49,7 @@
 	}
 	n.ports.Meter.Set(port.MetricLiveMembers, "", float64(live))
 	n.ports.Meter.Set(port.MetricSuspectMembers, "", float64(suspects))
-	n.ports.Meter.Set(port.MetricUnheardMembers, "", float64(view.Unheard))
+	n.ports.Meter.Set(port.MetricUnconfirmedMembers, "", float64(view.Unheard))
 	n.ports.Meter.Set(port.MetricUnreachableDomains, "", float64(len(view.Unreachable)))
 	n.ports.Meter.Set(port.MetricIsolated, "", isolated)
 }
--- a/internal/node/mesh_test.go
+++ b/internal/node/mesh_test.go
@@ -90,8 +90,8 @@
 
 type noTarget struct{}
 
-func (noTarget) Do(context.Context, *port.Call) (*port.Answer, error) {
-	return &port.Answer{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody}, nil
+func (noTarget) Do(context.Context, *port.Call) (*port.Response, error) {
+	return &port.Response{Status: http.StatusOK, Header: http.Header{}, Body: http.NoBody}, nil
 }
 
 // meshVM is VM number i of a mesh: domains of equal size, two to a region.
@@ -178,7 +178,7 @@
 			Customer: "co-operative", TokenHashes: []string{contract.HashToken("token")}, Classes: []string{"crew"},
 			Grants: []contract.Grant{{Service: "tally", Share: 0.5, Limit: 1}},
 			Routes: []contract.Route{{Name: "tallies", Prefix: "/", Service: "tally", Class: "crew",
-				Deadline: tomlfile.Duration(deadline), Stall: tomlfile.Duration(time.Second)}},
+				Deadline: tomlfile.Duration(deadline), StallTimeout: tomlfile.Duration(time.Second)}},
 		}},
 	}
 }
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -23,7 +23,7 @@
 	n.overheard(call.Entry, call.Version)
 	if !n.recent.first(call.ID) {
 		// The first one may have run, so this is no refusal.
-		callhttp.WriteError(w, &port.Unknown{Stage: stageDuplicate, Cause: errors.Errorf("call %s came twice", call.ID)})
+		callhttp.WriteError(w, &port.UnknownOutcome{Stage: stageDuplicate, Cause: errors.Errorf("call %s came twice", call.ID)})
 		return
 	}
 	answer, done, err := n.own(r.Context(), call)
@@ -32,7 +32,7 @@
 		return
 	}
 	defer done()
-	passAnswer(w, call.Method, answer, call.Stall)
+	passAnswer(w, call.Method, answer, call.StallTimeout)
 }
 
 // stageDuplicate is the stage of a call that was forwarded twice.
@@ -40,7 +40,7 @@
 
 // own admits the call and runs it on the local target. The returned function
 // gives the slot back and must be called once the answer's body is passed on.
-func (n *Node) own(ctx context.Context, call *port.Call) (*port.Answer, func(), error) {
+func (n *Node) own(ctx context.Context, call *port.Call) (*port.Response, func(), error) {
 	if refusal := n.mayOwn(); refusal != nil {
 		return nil, nil, refusal
 	}
@@ -64,7 +64,7 @@
 		return nil, nil, err
 	}
 	answer.Owner = n.config.Self.ID
-	answer.Body = newStallReader(answer.Body, call.Stall)
+	answer.Body = newStallReader(answer.Body, call.StallTimeout)
 	return answer, func() {
 		answer.Body.Close()
 		n.gate.Leave(call.ID)
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -21,7 +21,7 @@
 
 // passAnswer writes an answer through. If its body breaks, the connection is
 // cut: a clean end of stream would pass half an archive off as whole.
-func passAnswer(w http.ResponseWriter, method string, answer *port.Answer, stall time.Duration) {
+func passAnswer(w http.ResponseWriter, method string, answer *port.Response, stall time.Duration) {
 	header := w.Header()
 	callhttp.CopyHeader(header, answer.Header)
 	if answer.ContentLength >= 0 && hasBody(method, answer.Status) {
@@ -46,7 +46,7 @@
 
 // copyBody passes the body on as it comes. Each write must make progress within
 // the stall time, or a caller that stops reading would hold a slot for ever.
-func copyBody(w http.ResponseWriter, control *http.ResponseController, answer *port.Answer, stall time.Duration) error {
+func copyBody(w http.ResponseWriter, control *http.ResponseController, answer *port.Response, stall time.Duration) error {
 	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
 	var passed int64
--- a/internal/node/path_bench_test.go
+++ b/internal/node/path_bench_test.go
@@ -86,7 +86,7 @@
 // The decisions of the entry must not grow dearer unnoticed: at 430,000 calls/s
 // over 1,600 nodes garbage is paid for on every core.
 func TestEntryAllocations(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) { return ok("whole"), nil }}
+	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
 	n := newEntry(t, owners)
 	request := httptest.NewRequest(http.MethodGet, "/tallies/1", nil)
 	request.Header.Set("Authorization", "Bearer token")
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -19,7 +19,7 @@
 // busyOwners have no free slot: probes are refused, and what may wait gets the
 // outcome.
 func busyOwners(outcome error) *fakeOwners {
-	return &fakeOwners{answer: func(_ context.Context, _ int, _ membership.VM, call *port.Call) (*port.Answer, error) {
+	return &fakeOwners{answer: func(_ context.Context, _ int, _ membership.VM, call *port.Call) (*port.Response, error) {
 		if call.NoWait {
 			return nil, port.Refuse(port.ReasonBusy, time.Second, "no free slot")
 		}
@@ -66,7 +66,7 @@
 				owners := busyOwners(nil)
 				refuse := owners.answer
 				var slowed atomic.Bool
-				owners.answer = func(ctx context.Context, number int, to membership.VM, call *port.Call) (*port.Answer, error) {
+				owners.answer = func(ctx context.Context, number int, to membership.VM, call *port.Call) (*port.Response, error) {
 					if !call.NoWait {
 						took := usual
 						if to.ID == "vm-0" && slowed.CompareAndSwap(false, true) {
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -38,7 +38,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	answer, err := n.ports.Peers.Ask(ctx, vm, message)
+	answer, err := n.ports.Peers.Request(ctx, vm, message)
 	if busy, ok := answer.(port.Busy); ok && err == nil {
 		return nil, &busyError{retryAfter: busy.RetryAfter}
 	}
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -30,14 +30,14 @@
 // fakeOwners stands for all other owner nodes: answer gives each attempt's
 // outcome, by its place in the order of attempts.
 type fakeOwners struct {
-	answer func(ctx context.Context, number int, to membership.VM, call *port.Call) (*port.Answer, error)
+	answer func(ctx context.Context, number int, to membership.VM, call *port.Call) (*port.Response, error)
 
 	mu    sync.Mutex
 	calls []port.Call
 	to    []string
 }
 
-func (f *fakeOwners) Forward(ctx context.Context, to membership.VM, call *port.Call) (*port.Answer, error) {
+func (f *fakeOwners) Forward(ctx context.Context, to membership.VM, call *port.Call) (*port.Response, error) {
 	f.mu.Lock()
 	number := len(f.calls)
 	f.calls = append(f.calls, *call)
@@ -46,25 +46,25 @@
 	return f.answer(ctx, number, to, call)
 }
 
-func answerOf(status int, header http.Header, body io.Reader, length int64) *port.Answer {
+func answerOf(status int, header http.Header, body io.Reader, length int64) *port.Response {
 	if header == nil {
 		header = http.Header{}
 	}
-	return &port.Answer{Status: status, Header: header, Body: io.NopCloser(body), ContentLength: length}
+	return &port.Response{Status: status, Header: header, Body: io.NopCloser(body), ContentLength: length}
 }
 
-func ok(body string) *port.Answer {
+func ok(body string) *port.Response {
 	return answerOf(http.StatusOK, nil, strings.NewReader(body), int64(len(body)))
 }
 
-var errDied = &port.Unknown{Stage: "answer", Cause: io.ErrUnexpectedEOF}
+var errDied = &port.UnknownOutcome{Stage: "answer", Cause: io.ErrUnexpectedEOF}
 
 // requestSet has an idempotent route, one that is not, and the service that
 // runs at the node under test.
 func requestSet() *contract.Set {
 	route := func(name string, idempotent bool, methods ...string) contract.Route {
 		return contract.Route{Name: name, Prefix: "/" + name, Service: "tally", Class: "crew", Idempotent: idempotent,
-			Methods: methods, Deadline: tomlfile.Duration(4 * time.Second), Stall: tomlfile.Duration(100 * time.Millisecond)}
+			Methods: methods, Deadline: tomlfile.Duration(4 * time.Second), StallTimeout: tomlfile.Duration(100 * time.Millisecond)}
 	}
 	return &contract.Set{
 		Services: []contract.Service{{Name: "tally", Slots: 4, MaxConnections: 10, Committed: map[string]int{"domain-0": 1}}},
@@ -146,7 +146,7 @@
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
 			owners := &fakeOwners{}
-			owners.answer = func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Answer, error) {
+			owners.answer = func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
 				if c.outcomes[number] != nil {
 					return nil, c.outcomes[number]
 				}
@@ -174,7 +174,7 @@
 // Each attempt has an id of its own and goes to another target, after a target
 // without room to another region.
 func TestAttemptsGoElsewhere(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) {
+	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		return nil, port.Refuse(port.ReasonQueueFull, time.Second, "full")
 	}}
 	serve(newEntry(t, owners), "GET", "/tallies", nil)
@@ -189,7 +189,7 @@
 // from recovering.
 func TestRetriesDontAmplify(t *testing.T) {
 	for _, failure := range []error{errDied, port.Refuse(port.ReasonQueueFull, time.Second, "full"), port.Refuse(port.ReasonUnreachable, time.Second, "down")} {
-		owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) { return nil, failure }}
+		owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return nil, failure }}
 		n := newEntry(t, owners)
 		const requests = 1000
 		for range requests {
@@ -206,7 +206,7 @@
 func TestHungTargetLeavesTimeForAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := false
-		owners := &fakeOwners{answer: func(ctx context.Context, number int, _ membership.VM, call *port.Call) (*port.Answer, error) {
+		owners := &fakeOwners{answer: func(ctx context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
 			if number > 0 {
 				return ok("whole"), nil
 			}
@@ -224,7 +224,7 @@
 // Callers that give up say nothing about the target: it must not be ejected.
 func TestCallersThatGiveUpEjectNobody(t *testing.T) {
 	var giveUp context.CancelFunc
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) {
+	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		giveUp()
 		return nil, errDied
 	}}
@@ -251,7 +251,7 @@
 
 // At most half of a service's targets are put out, however many fail.
 func TestEjectionIsCapped(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) { return nil, errDied }}
+	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return nil, errDied }}
 	n := newEntry(t, owners)
 	for range 200 {
 		serve(n, "GET", "/tallies", nil)
@@ -272,7 +272,7 @@
 	for _, read := range []bool{false, true} {
 		owners := &fakeOwners{}
 		var first io.Reader
-		owners.answer = func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Answer, error) {
+		owners.answer = func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
 			if number > 0 {
 				_, err := first.Read(make([]byte, 1))
 				assert.ErrorIs(t, err, requestbody.ErrRevoked)
@@ -303,7 +303,7 @@
 	runs := &countingTarget{}
 	n.ports.Target = runs
 	n.gate.Configure(admissionTerms(n.current.Load(), n.config))
-	call := &port.Call{ID: "id", Customer: "co-operative", Service: "tally", Route: "returns", Method: "POST", Stall: time.Second, Deadline: time.Now().Add(time.Second)}
+	call := &port.Call{ID: "id", Customer: "co-operative", Service: "tally", Route: "returns", Method: "POST", StallTimeout: time.Second, Deadline: time.Now().Add(time.Second)}
 	for _, want := range []string{"", callhttp.OutcomeUnknown} {
 		recorder := httptest.NewRecorder()
 		n.Own(recorder, httptest.NewRequest("POST", "/returns", nil), call)
@@ -314,7 +314,7 @@
 
 type countingTarget struct{ count int }
 
-func (c *countingTarget) Do(context.Context, *port.Call) (*port.Answer, error) {
+func (c *countingTarget) Do(context.Context, *port.Call) (*port.Response, error) {
 	c.count++
 	return ok("ran"), nil
 }
@@ -350,7 +350,7 @@
 	for i, c := range cases {
 		recorder := httptest.NewRecorder()
 		n.Own(recorder, httptest.NewRequest("GET", "/", nil), &port.Call{
-			ID: fmt.Sprint(i), Customer: c.customer, Route: c.route, Service: "tally", Stall: time.Second, Entry: "vm-0",
+			ID: fmt.Sprint(i), Customer: c.customer, Route: c.route, Service: "tally", StallTimeout: time.Second, Entry: "vm-0",
 			Version: snapshot.Version{Epoch: 1, Revision: 3}, Deadline: time.Now().Add(time.Second),
 		})
 		assert.Equal(t, recorder.Header().Get(callhttp.HeaderReason), c.want)
@@ -361,7 +361,7 @@
 // A stopping node takes no work for its own target at once, serves callers for
 // a while through others, and closes their connections with each answer.
 func TestStoppingNodeClosesPolitely(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) { return ok("whole"), nil }}
+	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
 	n := newEntry(t, owners)
 	n.stopping.Store(true)
 	got := serve(n, "GET", "/tallies", nil)
@@ -383,7 +383,7 @@
 			wantDepth     int
 			want          time.Duration
 		}{{"", "", 0, 4 * time.Second}, {"a,b,c", "500", 3, 500 * time.Millisecond}, {strings.Repeat("a,", 99), "99000", 9, 4 * time.Second}, {"a", "-5", 1, 4 * time.Second}, {"a", "x", 1, 4 * time.Second}} {
-			owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) { return ok("whole"), nil }}
+			owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
 			n := newEntry(t, owners)
 			n.config.MaxAttempts = 1
 			request := httptest.NewRequest("GET", "/tallies", nil)
@@ -401,7 +401,7 @@
 // loop has had its turn: what the node knows of members is old, so the request
 // is refused in place of being sent to a VM that may have departed.
 func TestRequestRightAfterPause(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) { return ok("whole"), nil }}
+	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
 	n := newEntry(t, owners)
 	slept := time.Now().Add(-time.Minute)
 	n.lastTurn.Store(&slept)
@@ -416,7 +416,7 @@
 // the node must ask its peers first. The request is refused as well. Its caller
 // had gone when the node was still frozen, and it ran a second past its deadline.
 func TestRequestWhileAPauseIsHandled(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) { return ok("whole"), nil }}
+	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
 	n := newEntry(t, owners)
 	slept := time.Now().Add(-time.Minute)
 	n.lastTurn.Store(&slept)
@@ -435,7 +435,7 @@
 func TestHalfABodyIsNeverOffered(t *testing.T) {
 	large := strings.Repeat("x", 2*requestbody.KeptBytes)
 	owners := &fakeOwners{}
-	owners.answer = func(_ context.Context, _ int, _ membership.VM, call *port.Call) (*port.Answer, error) {
+	owners.answer = func(_ context.Context, _ int, _ membership.VM, call *port.Call) (*port.Response, error) {
 		if call.NoWait {
 			t.Error("a large body was sent on a probe")
 			_, _ = call.Body.Read(make([]byte, 100))
--- a/internal/node/resume.go
+++ b/internal/node/resume.go
@@ -32,7 +32,7 @@
 	if f.call.Method != http.MethodGet || !f.route.Idempotent {
 		return d
 	}
-	plan, ok := resume.For(describe(d.answer))
+	plan, ok := resume.NewPlan(describe(d.answer))
 	if !ok {
 		return d
 	}
@@ -42,8 +42,8 @@
 	return &delivery{answer: &answer, release: func() { body.current.release() }}
 }
 
-func describe(answer *port.Answer) resume.Answer {
-	return resume.Answer{
+func describe(answer *port.Response) resume.Response {
+	return resume.Response{
 		Status: answer.Status, Length: answer.ContentLength,
 		ETag: answer.Header.Get("Etag"), ContentRange: answer.Header.Get("Content-Range"),
 	}
@@ -77,7 +77,7 @@
 	// The slot of the broken attempt is given back first, or the same request
 	// would hold two.
 	b.current.release()
-	b.current = &delivery{answer: &port.Answer{Body: http.NoBody}, release: func() {}}
+	b.current = &delivery{answer: &port.Response{Body: http.NoBody}, release: func() {}}
 	next := b.flight.continuation(b.plan, b.passed, b.resumes)
 	d, err := next.dispatch(b.ctx)
 	if err != nil {
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -31,7 +31,7 @@
 }
 
 // archive is an owner's answer to a call for text, from where its Range says.
-func archive(text, etag string, call *port.Call) *port.Answer {
+func archive(text, etag string, call *port.Call) *port.Response {
 	var first, last int
 	header := http.Header{"Etag": {etag}}
 	if _, err := fmt.Sscanf(call.Header.Get("Range"), "bytes=%d-%d", &first, &last); err != nil {
@@ -78,7 +78,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
-			owners := &fakeOwners{answer: func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Answer, error) {
+			owners := &fakeOwners{answer: func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
 				if number > 0 {
 					return archive(text, c.nextTag, call), nil
 				}
@@ -114,7 +114,7 @@
 // the stall time, and the target's slot is free again.
 func TestSlowReaderFreesItsSlot(t *testing.T) {
 	released := make(chan struct{})
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) {
+	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		const endless = 1 << 40
 		answer := answerOf(http.StatusOK, nil, zeros{}, endless)
 		answer.Body = &closing{Reader: answer.Body, closed: released}
@@ -155,7 +155,7 @@
 		status int
 		length string
 	}{{http.MethodHead, 200, "1234"}, {http.MethodGet, 304, ""}, {http.MethodGet, 204, ""}} {
-		owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Answer, error) {
+		owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 			header := http.Header{}
 			if c.length != "" {
 				header.Set("Content-Length", c.length)
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -141,7 +141,7 @@
 	wait := reservation.DelayFrom(now)
 	if wait > 0 {
 		reservation.CancelAt(now)
-		n.ports.Meter.Count(port.MetricPullsPutOff, "", 1)
+		n.ports.Meter.Count(port.MetricPullsDeferred, "", 1)
 	}
 	return wait
 }
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -31,7 +31,7 @@
 func (t *target) heard(start time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.stats.Heard(start)
+	t.stats.EndWait(start)
 }
 
 func (t *target) end() {
@@ -55,25 +55,25 @@
 func (t *target) answered(now time.Time, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.stats.Answered(now, latency)
+	t.stats.RecordResponse(now, latency)
 }
 
 func (t *target) reported(now time.Time, running int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.stats.Reported(now, running)
+	t.stats.RecordLoad(now, running)
 }
 
 func (t *target) avoid(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.stats.Avoid(now)
+	t.stats.BackOff(now)
 }
 
 func (t *target) failed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.stats.Failed()
+	return t.stats.RecordFailure()
 }
 
 func (t *target) eject(now time.Time) {
@@ -150,7 +150,7 @@
 // safe for concurrent use.
 type directory struct {
 	self  membership.VM
-	place routing.Place
+	place routing.Locality
 
 	mu       sync.RWMutex
 	services map[string]*upstreams
@@ -159,7 +159,7 @@
 func newDirectory(self membership.VM) *directory {
 	return &directory{
 		self:     self,
-		place:    routing.Place{FailureDomain: self.FailureDomain, Region: self.Region},
+		place:    routing.Locality{FailureDomain: self.FailureDomain, Region: self.Region},
 		services: map[string]*upstreams{},
 	}
 }
@@ -217,6 +217,6 @@
 	if known := old.find(vm); known != nil {
 		return known
 	}
-	t.stats.Since = now
+	t.stats.FirstSeen = now
 	return t
 }
--- a/internal/node/terms.go
+++ b/internal/node/terms.go
@@ -14,7 +14,7 @@
 		return terms
 	}
 	terms.Slots = service.Slots
-	terms.LongLent = service.LongLentPart()
+	terms.LongLent = service.LongBorrowLimitOrDefault()
 	for i := range current.Set().Contracts {
 		contract := &current.Set().Contracts[i]
 		if grant := contract.Grant(service.Name); grant != nil {
--- a/internal/port/member.go
+++ b/internal/port/member.go
@@ -65,7 +65,7 @@
 	// MetricSuspectMembers is the number of members that gave no answer.
 	MetricSuspectMembers Metric = "tamarack_members_suspect"
 	// MetricUnheardMembers is the number of VMs that only the list names.
-	MetricUnheardMembers Metric = "tamarack_members_unheard"
+	MetricUnconfirmedMembers Metric = "tamarack_members_unheard"
 	// MetricUnreachableDomains is the number of failure domains without
 	// contact.
 	MetricUnreachableDomains Metric = "tamarack_domains_unreachable"
--- a/internal/port/metric.go
+++ b/internal/port/metric.go
@@ -37,7 +37,7 @@
 	// MetricCrashesDropped counts crashes that were told faster than a node takes them.
 	MetricCrashesDropped Metric = "tamarack_crash_notices_dropped_total"
 	// MetricOverdue counts callers' connections ended for keeping the node waiting.
-	MetricOverdue Metric = "tamarack_connections_overdue_total"
+	MetricSlowConnections Metric = "tamarack_connections_overdue_total"
 	// MetricResumed counts bodies continued from another target, by route.
 	MetricResumed Metric = "tamarack_bodies_resumed_total"
 	// MetricApplied counts versions put in force.
@@ -48,7 +48,7 @@
 	// other.
 	MetricConflicts Metric = "tamarack_versions_conflicting_total"
 	// MetricPullsPutOff counts pulls of peers that were told to come back.
-	MetricPullsPutOff Metric = "tamarack_pulls_put_off_total"
+	MetricPullsDeferred Metric = "tamarack_pulls_put_off_total"
 	// MetricPlatformReads counts reads of the platform, by result.
 	MetricPlatformReads Metric = "tamarack_platform_reads_total"
 	// MetricControlBytes counts the bytes of control connections that this node
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -58,7 +58,7 @@
 	// it was written to the connection.
 	Send(ctx context.Context, to membership.VM, message Message) error
 	// Ask delivers a message and waits for the peer's answer to it.
-	Ask(ctx context.Context, to membership.VM, message Message) (Message, error)
+	Request(ctx context.Context, to membership.VM, message Message) (Message, error)
 }
 
 // PeerHandler takes messages from proven peers. Handle may be called
@@ -89,7 +89,7 @@
 	// Deadline bounds the wait for the first byte of the answer.
 	Deadline time.Time
 	// Stall bounds the wait between two bytes of the answer's body.
-	Stall time.Duration
+	StallTimeout time.Duration
 
 	Method string
 	// Target is the path and query as the caller wrote them.
@@ -102,7 +102,7 @@
 
 // Answer is a target's answer. Body must be closed; a read error other than
 // io.EOF means that the body is broken and must end broken for the caller.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// ContentLength is -1 when it is not known.
@@ -115,13 +115,13 @@
 // Target runs calls on the VM's own target. An error is a *Refusal when it is
 // proven that nothing ran, and otherwise means that the outcome is unknown.
 type Target interface {
-	Do(ctx context.Context, call *Call) (*Answer, error)
+	Do(ctx context.Context, call *Call) (*Response, error)
 }
 
 // Forwarder runs calls at the owner node of another VM's target. Errors mean
 // what they mean for Target.
 type Forwarder interface {
-	Forward(ctx context.Context, to membership.VM, call *Call) (*Answer, error)
+	Forward(ctx context.Context, to membership.VM, call *Call) (*Response, error)
 }
 
 // Clock tells time. Decisions never read a clock; the node reads this one and
--- a/internal/port/refusal.go
+++ b/internal/port/refusal.go
@@ -64,16 +64,16 @@
 
 // Unknown is the error of a request that may have run: bytes reached the
 // target, and no whole answer came back.
-type Unknown struct {
+type UnknownOutcome struct {
 	// Stage says how far the request had come.
 	Stage string
 	Cause error
 }
 
 // Error renders the outcome for logs.
-func (u *Unknown) Error() string {
+func (u *UnknownOutcome) Error() string {
 	return fmt.Sprintf("outcome unknown at %s: %v", u.Stage, u.Cause)
 }
 
 // Unwrap gives the cause.
-func (u *Unknown) Unwrap() error { return u.Cause }
+func (u *UnknownOutcome) Unwrap() error { return u.Cause }
--- a/internal/port/sender.go
+++ b/internal/port/sender.go
@@ -2,7 +2,7 @@
 
 // Sent is a message that says which VM it comes from. Adapters compare that with
 // what the other side has proven to be.
-type Sent interface {
+type SenderMessage interface {
 	// Sender is the id of the VM, or empty when the message does not say.
 	Sender() string
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -63,7 +63,7 @@
 	way := p.ports.Clock.Now().Sub(a.began) - word.spent
 	answer, err := a.flight.read(response, a.cancel)
 	if err != nil {
-		return outcome{attempt: a, word: word, err: &port.Unknown{Stage: "answer", Cause: err}}
+		return outcome{attempt: a, word: word, err: &port.UnknownOutcome{Stage: "answer", Cause: err}}
 	}
 	return outcome{attempt: a, answer: answer, word: word, way: way}
 }
@@ -80,7 +80,7 @@
 	}
 	p.noteAnswer(o.attempt.stats, f.route, o.word, o.way, o.answer)
 	if f.failed(o.answer) {
-		err := &port.Unknown{Stage: "answer", Cause: errors.Errorf("the target answered with status %d", o.answer.response.Status)}
+		err := &port.UnknownOutcome{Stage: "answer", Cause: errors.Errorf("the target answered with status %d", o.answer.response.Status)}
 		f.tellFailed(o.attempt, err)
 		return o.answer, err
 	}
--- a/internal/proxy/decisions.go
+++ b/internal/proxy/decisions.go
@@ -83,7 +83,7 @@
 func (d *decisions) about(entry *log.Entry, f *flight, now time.Time) *log.Entry {
 	return entry.Str(logfield.Request, f.id).Str(logfield.Fingerprint, f.fingerprint.String()).Str(logfield.Route, f.route.Name).Str(logfield.Service, f.service).
 		Int(logfield.Offers, f.offers).Int(logfield.Arrivals, f.arrivals).
-		Int64(logfield.After, millis(now.Sub(f.began))).Int64(logfield.Left, millis(f.deadline.Sub(now))).
+		Int64(logfield.Elapsed, millis(now.Sub(f.began))).Int64(logfield.TimeLeft, millis(f.deadline.Sub(now))).
 		Uint64(logfield.Version, f.picture.Table.Config.Version).Int64(logfield.ViewAge, millis(d.viewAge()))
 }
 
@@ -101,7 +101,7 @@
 	if entry == nil {
 		return
 	}
-	d.about(entry, f, now).Str(logfield.Outcome, logfield.BrokenOff).Str(logfield.Target, f.last).
+	d.about(entry, f, now).Str(logfield.Outcome, logfield.Interrupted).Str(logfield.Target, f.last).
 		Str(logfield.Error, err.Error()).Msg("request")
 }
 
@@ -124,7 +124,7 @@
 	} else {
 		entry = entry.Str(logfield.Outcome, logfield.Unknown).Str(logfield.Error, err.Error())
 	}
-	entry.Bool(logfield.CallerGone, gone).Msg("request")
+	entry.Bool(logfield.CallerDisconnected, gone).Msg("request")
 }
 
 // belief is what an offer was decided by.
@@ -146,8 +146,8 @@
 	}
 	d.about(entry, f, now).Str(logfield.Outcome, logfield.Failed).Str(logfield.Target, member.ID).Str(logfield.Attempt, attempt).
 		Uint64(logfield.TargetRevision, member.Revision).
-		Str(logfield.Believed, fmt.Sprintf("%d/%d/%d", b.load.Running, b.load.Waiting, b.load.Slots)).
-		Int64(logfield.BelievedAge, millis(b.age)).Str(logfield.Error, err.Error()).Msg("attempt")
+		Str(logfield.ReportedLoad, fmt.Sprintf("%d/%d/%d", b.load.Running, b.load.Waiting, b.load.Slots)).
+		Int64(logfield.ReportedLoadAge, millis(b.age)).Str(logfield.Error, err.Error()).Msg("attempt")
 }
 
 // ownFailed tells what the owner node decided on a request of another node, or
@@ -164,8 +164,8 @@
 		entry = entry.Str(logfield.Reason, string(refusal.Reason)).Int64(logfield.RetryAfter, millis(refusal.RetryAfter))
 	}
 	entry.Str(logfield.Request, id).Str(logfield.Fingerprint, t.fingerprint.String()).Str(logfield.Route, t.route).Str(logfield.Attempt, t.attempt).Str(logfield.Outcome, outcome).
-		Int64(logfield.After, millis(now.Sub(received))).Int64(logfield.Left, millis(t.budget-now.Sub(received))).
-		Str(logfield.Believed, fmt.Sprintf("%d/%d/%d", word.Running, word.Waiting, word.Slots)).
+		Int64(logfield.Elapsed, millis(now.Sub(received))).Int64(logfield.TimeLeft, millis(t.budget-now.Sub(received))).
+		Str(logfield.ReportedLoad, fmt.Sprintf("%d/%d/%d", word.Running, word.Waiting, word.Slots)).
 		Int64(logfield.ViewAge, millis(d.viewAge())).Str(logfield.Error, err.Error()).Msg("own target")
 }
 
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -71,7 +71,7 @@
 	}
 	body, length, err := requestbody.Read(r.Body, r.ContentLength)
 	if err != nil {
-		return nil, &port.Unknown{Stage: "body", Cause: err}
+		return nil, &port.UnknownOutcome{Stage: "body", Cause: err}
 	}
 	f := &flight{
 		proxy: p, picture: picture, route: route, began: now,
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -207,7 +207,7 @@
 	}
 	if response.Header.Get(p.config.Headers.RequestID) != r.ID {
 		_ = response.Body.Close()
-		return nil, word, &port.Unknown{Stage: "answer", Cause: errors.New("the answer is another request's")}
+		return nil, word, &port.UnknownOutcome{Stage: "answer", Cause: errors.New("the answer is another request's")}
 	}
 	return response, word, nil
 }
--- a/internal/proxy/operations_test.go
+++ b/internal/proxy/operations_test.go
@@ -57,7 +57,7 @@
 	assert.Equal(t, lines[0].Fields[logfield.Attempt], lines[1].Fields[logfield.Attempt])
 	assert.Assert(t, strings.Contains(lines[0].Fields[logfield.Error].(string), "1,0,4"))
 	assert.Equal(t, lines[2].Fields[logfield.RetryAfter], 50.0)
-	for _, name := range []string{logfield.Version, logfield.ViewAge, logfield.Left, logfield.Arrivals} {
+	for _, name := range []string{logfield.Version, logfield.ViewAge, logfield.TimeLeft, logfield.Arrivals} {
 		assert.Assert(t, lines[2].Fields[name] != nil, name)
 	}
 }
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -163,7 +163,7 @@
 	if errors.As(err, &failure) && !failure.Sent {
 		return port.Refuse(port.ReasonUnreachable, retryUnreachable, "%v", failure.Cause)
 	}
-	return &port.Unknown{Stage: "target", Cause: err}
+	return &port.UnknownOutcome{Stage: "target", Cause: err}
 }
 
 // notRun returns the refusal that a target's answer stands for, or nil. Only a
@@ -250,7 +250,7 @@
 	a, err := readAnswer(response)
 	if err != nil {
 		p.correctLink(&t, 0)
-		callhttp.WriteError(w, &port.Unknown{Stage: "answer", Cause: err})
+		callhttp.WriteError(w, &port.UnknownOutcome{Stage: "answer", Cause: err})
 		return
 	}
 	p.correctLink(&t, len(a.whole))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -135,9 +135,9 @@
 	// candidates holds the usable targets by service.
 	candidates map[string]*candidates
 	work       map[string]*placement.Work
-	repeats    *retry.Ledger
+	repeats    *retry.FleetBudget
 	runs       ownRuns
-	callers    *clientretry.Memory
+	callers    *clientretry.Tracker
 	held       holds
 	reach      reachability
 	link       *link.Share
@@ -154,11 +154,11 @@
 		random:    rand.New(rand.NewPCG(config.Seed, 1)),
 		stats:     map[string]*placement.Stats{},
 		work:      map[string]*placement.Work{},
-		repeats:   retry.NewLedger(config.RepeatWindow),
+		repeats:   retry.NewFleetBudget(config.RepeatWindow),
 		runs:      ownRuns{running: map[string]ownRun{}},
 		crashes:   ports.Crashes,
 		alone:     make(chan struct{}, 1),
-		callers:   clientretry.NewMemory(),
+		callers:   clientretry.NewTracker(),
 		reach:     newReachability(),
 		link:      link.NewShare(config.LinkRate),
 		turnComes: map[*link.Turn]chan struct{}{},
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -227,8 +227,8 @@
 				p.gate.Configure(ownTerms(0))
 			}
 			now := time.Now()
-			attempt := &clientretry.Request{Method: "GET", Host: "h", URI: "/idempotent/x", Ends: now.Add(time.Second)}
-			f.proxies[0].callers.Failed(now, attempt, now.Add(-test.waited))
+			attempt := &clientretry.Request{Method: "GET", Host: "h", URI: "/idempotent/x", Deadline: now.Add(time.Second)}
+			f.proxies[0].callers.RecordFailure(now, attempt, now.Add(-test.waited))
 			r := httptest.NewRequest("GET", "/idempotent/x", nil)
 			r.Host = "h"
 			r.Header.Set(headers.RequestID, nextRequest())
--- a/internal/proxy/repeat.go
+++ b/internal/proxy/repeat.go
@@ -16,7 +16,7 @@
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.repeats.Repeat(now, f.service, p.repeatTerms(f.picture)) {
+	if !p.repeats.AllowRetry(now, f.service, p.repeatTerms(f.picture)) {
 		return false
 	}
 	p.ports.Meter.Count(port.MetricRetries, f.route.Name, 1)
@@ -24,18 +24,18 @@
 }
 
 // repeatTerms are this node's part of the fleet's budget.
-func (p *Proxy) repeatTerms(picture *Picture) retry.Terms {
+func (p *Proxy) repeatTerms(picture *Picture) retry.Limits {
 	nodes := 1
 	if picture != nil {
 		nodes = max(picture.Nodes, 1)
 	}
-	return retry.Terms{Ratio: p.config.RepeatRatio, Few: p.config.RepeatFew / float64(nodes)}
+	return retry.Limits{Ratio: p.config.RepeatRatio, Slack: p.config.RepeatFew / float64(nodes)}
 }
 
 func (p *Proxy) countRequest(f *flight) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f.repeated = p.repeats.Request(f.began, f.service, f.callerEnds)
+	f.repeated = p.repeats.CountRequest(f.began, f.service, f.callerEnds)
 }
 
 // repeatPart is the chance that the next arrival is a repeat.
@@ -51,8 +51,8 @@
 func (p *Proxy) beginRun(now time.Time, t *terms, deadline time.Time) *port.Refusal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	run := retry.Run{Route: t.route, Part: t.repeated, Ends: deadline}
-	if p.repeats.Begin(now, t.attempt, run, p.repeatTerms(p.picture.Load())) {
+	run := retry.Run{Route: t.route, RetryProbability: t.repeated, Deadline: deadline}
+	if p.repeats.BeginRun(now, t.attempt, run, p.repeatTerms(p.picture.Load())) {
 		return nil
 	}
 	return port.Refuse(port.ReasonBusy, retryRepeat, "the budget of repeats has no room for the calls of one more")
@@ -65,7 +65,7 @@
 // endRun gives back the slot of a run.
 func (p *Proxy) endRun(attempt string) {
 	p.mu.Lock()
-	p.repeats.End(p.ports.Clock.Now(), attempt)
+	p.repeats.EndRun(p.ports.Clock.Now(), attempt)
 	p.mu.Unlock()
 	p.gate.Leave(attempt)
 }
--- a/internal/routing/clientretry/clientretry.go
+++ b/internal/routing/clientretry/clientretry.go
@@ -17,7 +17,7 @@
 	Method, Host, URI string
 	// Ends is when the caller stops waiting. It is the same moment in each of its
 	// attempts, whatever their ids.
-	Ends time.Time
+	Deadline time.Time
 }
 
 const (
@@ -33,7 +33,7 @@
 
 // Memory holds the failed attempts of callers that may come back. It is not safe
 // for concurrent use.
-type Memory struct {
+type Tracker struct {
 	failed map[uint64][]attempt
 	// order lists what was remembered, oldest first.
 	order []remembered
@@ -48,7 +48,7 @@
 }
 
 // NewMemory returns an empty memory.
-func NewMemory() *Memory { return &Memory{failed: map[uint64][]attempt{}} }
+func NewTracker() *Tracker { return &Tracker{failed: map[uint64][]attempt{}} }
 
 func (r *Request) key() uint64 {
 	return xxhash.Sum64String(r.Method + " " + r.Host + " " + r.URI)
@@ -56,10 +56,10 @@
 
 // First returns when the caller of a request that arrives now made its first
 // attempt: now, unless an attempt of it is remembered, which is then forgotten.
-func (m *Memory) First(now time.Time, r *Request) time.Time {
+func (m *Tracker) FirstAttempt(now time.Time, r *Request) time.Time {
 	key := r.key()
 	for i, a := range m.failed[key] {
-		if a.ends.Sub(r.Ends).Abs() <= sameEnd {
+		if a.ends.Sub(r.Deadline).Abs() <= sameEnd {
 			m.remove(key, i)
 			return a.first
 		}
@@ -69,19 +69,19 @@
 
 // Failed remembers an attempt that didn't get what it asked for, of a caller that
 // began at first. One that has stopped waiting doesn't come back.
-func (m *Memory) Failed(now time.Time, r *Request, first time.Time) {
+func (m *Tracker) RecordFailure(now time.Time, r *Request, first time.Time) {
 	m.forget(now)
-	if !r.Ends.After(now) {
+	if !r.Deadline.After(now) {
 		return
 	}
 	key := r.key()
-	m.failed[key] = append(m.failed[key], attempt{first: first, ends: r.Ends})
-	m.order = append(m.order, remembered{key: key, ends: r.Ends})
+	m.failed[key] = append(m.failed[key], attempt{first: first, ends: r.Deadline})
+	m.order = append(m.order, remembered{key: key, ends: r.Deadline})
 }
 
 // forget drops attempts whose callers have stopped waiting, and the oldest beyond
 // mostRemembered.
-func (m *Memory) forget(now time.Time) {
+func (m *Tracker) forget(now time.Time) {
 	for len(m.order) > 0 && (len(m.order) >= mostRemembered || !m.order[0].ends.After(now)) {
 		oldest := m.order[0]
 		m.order = m.order[1:]
@@ -94,7 +94,7 @@
 	}
 }
 
-func (m *Memory) remove(key uint64, i int) {
+func (m *Tracker) remove(key uint64, i int) {
 	kept := append(m.failed[key][:i], m.failed[key][i+1:]...)
 	if len(kept) == 0 {
 		delete(m.failed, key)
--- a/internal/routing/resume/resume.go
+++ b/internal/routing/resume/resume.go
@@ -10,7 +10,7 @@
 )
 
 // Answer is what the decision needs to know of an answer.
-type Answer struct {
+type Response struct {
 	Status int
 	// ETag and ContentRange are header values, empty when absent.
 	ETag         string
@@ -35,7 +35,7 @@
 
 // For returns the plan for an answer, or false if a break must be shown to the
 // caller. Only a strong ETag proves that another target's bytes are the same.
-func For(a Answer) (*Plan, bool) {
+func NewPlan(a Response) (*Plan, bool) {
 	if !strong(a.ETag) || a.Length <= 0 {
 		return nil, false
 	}
@@ -76,7 +76,7 @@
 
 // Check returns why an answer does not continue the body after so many bytes,
 // or nil.
-func (p *Plan) Check(after int64, a Answer) error {
+func (p *Plan) Check(after int64, a Response) error {
 	var got Plan
 	if a.Status != statusPartial {
 		return errors.Errorf("status %d in place of a part", a.Status)
--- a/internal/routing/retry/fleet_test.go
+++ b/internal/routing/retry/fleet_test.go
@@ -15,7 +15,7 @@
 // keeps a ledger, as entry of requests and as owner of its target.
 type fleet struct {
 	random   *rand.Rand
-	terms    Terms
+	terms    Limits
 	span     time.Duration
 	now      time.Time
 	due      queue
@@ -25,7 +25,7 @@
 }
 
 type fleetNode struct {
-	ledger  *Ledger
+	ledger  *FleetBudget
 	service *fleetService
 }
 
@@ -75,14 +75,14 @@
 // served. Byrepeat says whether a repeated run makes it, which the nodes don't know.
 func (f *fleet) request(at *fleetNode, s *fleetService, ends time.Time, byRepeat bool, done func(ok bool)) {
 	s.requests = append(s.requests, f.now)
-	part := at.ledger.Request(f.now, s.name, ends)
+	part := at.ledger.CountRequest(f.now, s.name, ends)
 	f.offer(at, s, ends, part, 0, byRepeat, done)
 }
 
 const mostAttempts = 3
 
 func (f *fleet) offer(at *fleetNode, s *fleetService, ends time.Time, part float64, arrivals int, byRepeat bool, done func(bool)) {
-	if arrivals >= mostAttempts || arrivals > 0 && !at.ledger.Repeat(f.now, s.name, f.terms) {
+	if arrivals >= mostAttempts || arrivals > 0 && !at.ledger.AllowRetry(f.now, s.name, f.terms) {
 		done(false)
 		return
 	}
@@ -93,7 +93,7 @@
 	f.attempts++
 	attempt := fmt.Sprint(f.attempts)
 	runEnds := minTime(ends, f.now.Add(time.Second))
-	if !owner.ledger.Begin(f.now, attempt, Run{Route: s.name, Part: part, Ends: runEnds}, f.terms) {
+	if !owner.ledger.BeginRun(f.now, attempt, Run{Route: s.name, RetryProbability: part, Deadline: runEnds}, f.terms) {
 		done(false)
 		return
 	}
@@ -101,7 +101,7 @@
 		s.repeats = append(s.repeats, f.now)
 	}
 	end := func(ok bool) {
-		owner.ledger.End(f.now, attempt)
+		owner.ledger.EndRun(f.now, attempt)
 		if ok {
 			done(true)
 			return
@@ -144,14 +144,14 @@
 // which some turn up to 0.7 of their arrivals away.
 func newFleet(seed uint64) *fleet {
 	random := rand.New(rand.NewPCG(seed, 7))
-	f := &fleet{random: random, terms: Terms{Ratio: 0.1 + 0.2*random.Float64()}, span: time.Duration(5+random.IntN(11)) * time.Second, now: time.Unix(1_000_000, 0)}
+	f := &fleet{random: random, terms: Limits{Ratio: 0.1 + 0.2*random.Float64()}, span: time.Duration(5+random.IntN(11)) * time.Second, now: time.Unix(1_000_000, 0)}
 	for i := range 2 + random.IntN(2) {
 		s := &fleetService{name: fmt.Sprint("s", i), calls: random.IntN(4)}
 		if random.IntN(2) == 0 {
 			s.shed = 0.7 * random.Float64()
 		}
 		for range 2 + random.IntN(7) {
-			node := &fleetNode{ledger: NewLedger(f.span), service: s}
+			node := &fleetNode{ledger: NewFleetBudget(f.span), service: s}
 			s.nodes = append(s.nodes, node)
 			f.nodes = append(f.nodes, node)
 		}
@@ -161,7 +161,7 @@
 		f.services = append(f.services, s)
 	}
 	f.services[len(f.services)-1].calls = 0
-	f.terms.Few = float64(20+random.IntN(60)) / float64(len(f.nodes))
+	f.terms.Slack = float64(20+random.IntN(60)) / float64(len(f.nodes))
 	return f
 }
 
@@ -194,7 +194,7 @@
 	for i := 0; i < len(s.repeats); i++ {
 		from := s.repeats[i]
 		requests := max(within(s.requests, from, f.span), within(s.requests, from.Add(-f.span), f.span), within(s.requests, from.Add(-f.span/2), f.span))
-		allowed := f.terms.Ratio*float64(requests) + f.terms.Few*float64(len(f.nodes))
+		allowed := f.terms.Ratio*float64(requests) + f.terms.Slack*float64(len(f.nodes))
 		worst = max(worst, float64(within(s.repeats, from, f.span))/allowed)
 	}
 	return worst
--- a/internal/routing/retry/ledger.go
+++ b/internal/routing/retry/ledger.go
@@ -3,11 +3,11 @@
 import "time"
 
 // Terms bound the repeats of the whole fleet at one service.
-type Terms struct {
+type Limits struct {
 	// Ratio is the part of a service's requests that may be repeats.
 	Ratio float64
 	// Few is this node's part of the few repeats that are allowed besides.
-	Few float64
+	Slack float64
 }
 
 // Ledger is a node's part of a budget that the whole fleet keeps without talking
@@ -25,7 +25,7 @@
 // more repeats than allowed.
 //
 // A Ledger is not safe for concurrent use.
-type Ledger struct {
+type FleetBudget struct {
 	span     time.Duration
 	services map[string]*window
 	calling  *calling
@@ -38,9 +38,9 @@
 	Route string
 	// Part is the chance that it is a repeat: 1 for a further attempt, less for
 	// what a repeated run may have called.
-	Part float64
+	RetryProbability float64
 	// Ends is when its calls expire at the latest.
-	Ends time.Time
+	Deadline time.Time
 }
 
 type run struct {
@@ -49,18 +49,18 @@
 }
 
 // NewLedger returns an empty ledger for windows of a span; zero means DefaultSpan.
-func NewLedger(span time.Duration) *Ledger {
+func NewFleetBudget(span time.Duration) *FleetBudget {
 	if span <= 0 {
-		span = DefaultSpan
+		span = DefaultWindow
 	}
-	return &Ledger{span: span, services: map[string]*window{}, calling: newCalling(), running: map[string]*run{}}
+	return &FleetBudget{span: span, services: map[string]*window{}, calling: newCalling(), running: map[string]*run{}}
 }
 
 // Request counts a request for a service and returns the chance that it is a call
 // of a repeated run. Calls expire with the run that made them, so a request that
 // is wanted for longer than every run of the VM's own target is none; zero ends
 // means that the caller didn't say.
-func (l *Ledger) Request(now time.Time, service string, ends time.Time) (part float64) {
+func (l *FleetBudget) CountRequest(now time.Time, service string, ends time.Time) (part float64) {
 	s := l.window(service).slot(now)
 	s.requests++
 	part = l.charge(service, ends)
@@ -74,18 +74,18 @@
 
 // charge divides what may be a call among the runs that may have made it, and
 // returns the part that repeats have of it.
-func (l *Ledger) charge(service string, ends time.Time) (part float64) {
+func (l *FleetBudget) charge(service string, ends time.Time) (part float64) {
 	total, repeated := 0.0, 0.0
 	shares := map[*routeCalls]float64{}
 	for _, r := range l.running {
-		if !ends.IsZero() && ends.After(r.Ends.Add(deadlineSlack)) {
+		if !ends.IsZero() && ends.After(r.Deadline.Add(deadlineSlack)) {
 			continue
 		}
 		route := l.calling.route(r.Route)
 		rate := route.rate(service)
 		shares[route] += rate
 		total += rate
-		repeated += rate * r.Part
+		repeated += rate * r.RetryProbability
 	}
 	if total == 0 {
 		return 0
@@ -98,7 +98,7 @@
 
 // Repeat counts a further attempt at a service, or reports false when the terms
 // don't allow one.
-func (l *Ledger) Repeat(now time.Time, service string, terms Terms) bool {
+func (l *FleetBudget) AllowRetry(now time.Time, service string, terms Limits) bool {
 	if !l.hasRoom(now, service, terms, 1) {
 		return false
 	}
@@ -108,14 +108,14 @@
 
 // hasRoom reports whether the budget of a service has room for so many repeats more,
 // beside the calls that the repeats which run by now will make.
-func (l *Ledger) hasRoom(now time.Time, service string, terms Terms, more float64) bool {
+func (l *FleetBudget) hasRoom(now time.Time, service string, terms Limits, more float64) bool {
 	for _, r := range l.running {
-		if r.Part > 0 {
-			more += r.Part * l.calling.route(r.Route).perRun(service)
+		if r.RetryProbability > 0 {
+			more += r.RetryProbability * l.calling.route(r.Route).perRun(service)
 		}
 	}
 	total := l.window(service).sum(now)
-	return total.repeats+more <= ownPart*(terms.Ratio*float64(total.requests)+terms.Few)
+	return total.repeats+more <= ownPart*(terms.Ratio*float64(total.requests)+terms.Slack)
 }
 
 // ownPart is the part of its budget that a node uses up by its own repeats. Along a
@@ -126,10 +126,10 @@
 // Begin takes a run at the VM's own target. It reports false for a repeat whose
 // calls the budget has no room for; the run must not begin then. After true, End
 // must be called.
-func (l *Ledger) Begin(now time.Time, attempt string, r Run, terms Terms) bool {
+func (l *FleetBudget) BeginRun(now time.Time, attempt string, r Run, terms Limits) bool {
 	l.calling.age(now, l.span)
 	route := l.calling.route(r.Route)
-	if r.Part >= 1 {
+	if r.RetryProbability >= 1 {
 		for service := range route.made {
 			if calls := route.perRun(service); calls > 0 && !l.hasRoom(now, service, terms, calls) {
 				return false
@@ -142,7 +142,7 @@
 }
 
 // End takes the end of a run; unknown ones are left alone.
-func (l *Ledger) End(now time.Time, attempt string) {
+func (l *FleetBudget) EndRun(now time.Time, attempt string) {
 	r := l.running[attempt]
 	if r == nil {
 		return
@@ -151,7 +151,7 @@
 	l.calling.route(r.Route).busy += max(0, now.Sub(r.began)).Seconds()
 }
 
-func (l *Ledger) window(service string) *window {
+func (l *FleetBudget) window(service string) *window {
 	w := l.services[service]
 	if w == nil {
 		w = newWindow(l.span)
--- a/internal/routing/retry/window.go
+++ b/internal/routing/retry/window.go
@@ -6,7 +6,7 @@
 const windowSlots = 10
 
 // DefaultSpan is the length of a window where the settings name none.
-const DefaultSpan = 10 * time.Second
+const DefaultWindow = 10 * time.Second
 
 // window counts what came in one span of time. Unlike a token bucket it forgets
 // nothing within the span, so a bound on it holds for each span of that length
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -9,7 +9,7 @@
 )
 
 // Place is where a node stands.
-type Place struct {
+type Locality struct {
 	FailureDomain string
 	Region        string
 }
@@ -25,7 +25,7 @@
 )
 
 // DistanceTo returns how far the VM is.
-func (p Place) DistanceTo(vm membership.VM) Distance {
+func (p Locality) DistanceTo(vm membership.VM) Distance {
 	switch {
 	case vm.FailureDomain == p.FailureDomain:
 		return SameDomain
--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -42,7 +42,7 @@
 type Stats struct {
 	// Since is when the target was first seen; zero for targets that were there
 	// when the node started, which are taken for warm.
-	Since time.Time
+	FirstSeen time.Time
 
 	open int
 	// silent counts the attempts that no answer has come to, and silentSince
@@ -73,7 +73,7 @@
 
 // Heard takes the attempt that began at start as answered or failed; its body
 // may still be on the way.
-func (s *Stats) Heard(start time.Time) {
+func (s *Stats) EndWait(start time.Time) {
 	s.silent--
 	s.silentSince -= start.Sub(s.base).Seconds()
 }
@@ -85,7 +85,7 @@
 func (s *Stats) Open() int { return s.open }
 
 // Answered takes an answer that came after the latency.
-func (s *Stats) Answered(now time.Time, latency time.Duration) {
+func (s *Stats) RecordResponse(now time.Time, latency time.Duration) {
 	s.failures = 0
 	s.ejections = 0
 	s.observe(now, latency)
@@ -102,7 +102,7 @@
 
 // Failed takes an attempt that failed. It reports whether the target is due
 // for ejection; Eject then puts it out, if the cap allows.
-func (s *Stats) Failed() bool {
+func (s *Stats) RecordFailure() bool {
 	s.failures++
 	return s.failures >= ejectAfter
 }
@@ -117,13 +117,13 @@
 }
 
 // Avoid leaves a target alone that said it takes no new work.
-func (s *Stats) Avoid(now time.Time) { s.outUntil = now.Add(avoidFor) }
+func (s *Stats) BackOff(now time.Time) { s.outUntil = now.Add(avoidFor) }
 
 // Available reports whether the target is neither ejected nor avoided.
 func (s *Stats) Available(now time.Time) bool { return !now.Before(s.outUntil) }
 
 // Reported takes the load that the target told: requests that it runs.
-func (s *Stats) Reported(now time.Time, running int) {
+func (s *Stats) RecordLoad(now time.Time, running int) {
 	s.reported = float64(running)
 	s.reportedAt = now
 }
@@ -167,10 +167,10 @@
 }
 
 func (s *Stats) weight(now time.Time, slowStart time.Duration) float64 {
-	if s.Since.IsZero() || slowStart <= 0 {
+	if s.FirstSeen.IsZero() || slowStart <= 0 {
 		return 1
 	}
-	age := float64(now.Sub(s.Since)) / float64(slowStart)
+	age := float64(now.Sub(s.FirstSeen)) / float64(slowStart)
 	return min(1, max(minWeight, age))
 }
 
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -18,7 +18,7 @@
 // node's subset. Rendezvous hashing over the node and the target keeps the
 // subset when other targets come and go: a lost target is replaced by one, and
 // no other connection is given up.
-func Groups(from Place, self string, targets []membership.VM) [OtherRegion + 1][]membership.VM {
+func Groups(from Locality, self string, targets []membership.VM) [OtherRegion + 1][]membership.VM {
 	var groups [OtherRegion + 1][]membership.VM
 	for _, vm := range targets {
 		distance := from.DistanceTo(vm)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -82,7 +82,7 @@
 	if found := s.load(held); len(found) > 0 {
 		return nil, found
 	}
-	if found := contract.Check(&s.set, contract.NoPlaces{}); len(found) > 0 {
+	if found := contract.Check(&s.set, contract.NoLocations{}); len(found) > 0 {
 		return nil, found
 	}
 	s.index()
--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -117,12 +117,12 @@
 
 // Send implements port.Peers.
 func (p *peers) Send(ctx context.Context, to membership.VM, message port.Message) error {
-	_, err := p.Ask(ctx, to, message)
+	_, err := p.Request(ctx, to, message)
 	return err
 }
 
 // Ask implements port.Peers.
-func (p *peers) Ask(ctx context.Context, to membership.VM, message port.Message) (port.Message, error) {
+func (p *peers) Request(ctx context.Context, to membership.VM, message port.Message) (port.Message, error) {
 	handler, there, err := p.network.carry(ctx, p.self, to.PeerAddress, message)
 	if err != nil {
 		return nil, err
