--- a/internal/contract/agree_test.go
+++ b/internal/contract/agree_test.go
@@ -10,7 +10,7 @@
 	"tamarackquay/internal/snapshot"
 )
 
-const small = `[[service]]
+const validConfig = `[[service]]
 name = "tally"
 slots = 4
 max_connections = 10
@@ -32,11 +32,11 @@
 stall = "1s"
 `
 
-// FuzzNodesAcceptWhatOperatorsMayPublish: whatever passes the operator's check
-// is accepted by a node that receives it as parts, in any order; were it
-// otherwise, a version could be published that no node puts in force.
+// FuzzNodesAcceptWhatOperatorsMayPublish checks that a configuration that passes
+// the operator's check is also accepted by a node that receives it as parts, in
+// any order. Otherwise a version could be published that no node applies.
 func FuzzNodesAcceptWhatOperatorsMayPublish(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(validConfig))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		set, found := contract.Parse([]contract.Source{{Name: "f.toml", Text: text}})
 		if len(found) > 0 {
@@ -47,7 +47,7 @@
 		assert.NilError(t, contract.Check(set, contract.NoLocations{}).AsError())
 		publication, err := snapshot.Build(set, snapshot.Origin{Version: snapshot.Version{Epoch: 1, Revision: 1}})
 		if err != nil {
-			return // told to the operator by the build, before publication
+			return // the build reports this to the operator before publication
 		}
 		_, refused := snapshot.Assemble(publication.Manifest, publication.Parts)
 		assert.NilError(t, refused.AsError())
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -8,7 +8,7 @@
 	"tamarackquay/internal/finding"
 )
 
-// The codes that checks of meaning report.
+// Finding codes of the semantic checks.
 const (
 	CodeMissing        finding.Code = "missing-value"
 	CodeBadName        finding.Code = "bad-name"
@@ -28,7 +28,7 @@
 	CodeRounding       finding.Code = "part-rounds-badly"
 )
 
-// Bounds that keep a slip of the keyboard from reaching the fleet.
+// Upper bounds that reject typing errors before they reach the fleet.
 const (
 	MaxSlots       = 10_000
 	MaxConnections = 65_535
@@ -41,81 +41,81 @@
 	tokenPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// Place tells a finding's file and line. Sets that were read from files know
-// both; sets received as parts know neither.
+// Locator returns the file and line of a key of one resource. Both are known for
+// sets read from files and unknown for sets received as parts.
 type Locator func(key string) (file string, line int)
 
-// Places finds the place of each resource of a set by its index.
+// Locations returns the locator of each resource of a set by its index.
 type Locations interface {
 	Service(index int) Locator
 	Contract(index int) Locator
 }
 
-// NoPlaces is for sets that were not read from files.
+// NoLocations implements Locations for sets that were not read from files.
 type NoLocations struct{}
 
-// Service returns a place that names the resource's kind only.
+// Service returns a locator that gives the resource's kind in place of a file.
 func (NoLocations) Service(int) Locator { return func(string) (string, int) { return "service", 0 } }
 
-// Contract returns a place that names the resource's kind only.
+// Contract returns a locator that gives the resource's kind in place of a file.
 func (NoLocations) Contract(int) Locator { return func(string) (string, int) { return "contract", 0 } }
 
 // checker collects the findings of one set.
 type checker struct {
-	set    *Set
-	places Locations
-	found  finding.List
+	set       *Set
+	locations Locations
+	found     finding.List
 }
 
-// Check returns every reason why the set could not be honoured. It is
-// deterministic, so all nodes agree on whether a version is good.
-func Check(set *Set, places Locations) finding.List {
-	c := &checker{set: set, places: places}
+// Check returns all findings that make the set invalid. It is deterministic, so
+// all nodes agree on whether a version is valid.
+func Check(set *Set, locations Locations) finding.List {
+	c := &checker{set: set, locations: locations}
 	c.services()
 	c.contracts()
-	c.commitments()
+	c.overcommitted()
 	c.found.Sort()
 	return c.found
 }
 
-func (c *checker) add(place Locator, code finding.Code, key, hint, format string, args ...any) {
-	file, line := place(key)
+func (c *checker) add(locate Locator, code finding.Code, key, hint, format string, args ...any) {
+	file, line := locate(key)
 	c.found = append(c.found, finding.Finding{
 		Code: code, File: file, Line: line, Key: key,
 		Problem: fmt.Sprintf(format, args...), Hint: hint,
 	})
 }
 
-func (c *checker) name(place Locator, key, value string) {
+func (c *checker) name(locate Locator, key, value string) {
 	if value == "" {
-		c.add(place, CodeMissing, key, "give it a name", "a name is required")
+		c.add(locate, CodeMissing, key, "set a name", "a name is required")
 		return
 	}
 	if !namePattern.MatchString(value) {
-		c.add(place, CodeBadName, key, "use lower-case letters, digits and dashes, 64 at most", "%q is not a name", value)
+		c.add(locate, CodeBadName, key, "use lower-case letters, digits and dashes, 64 at most", "%q is not a valid name", value)
 	}
 }
 
-// part finds numbers that are no part of a whole. It is written as "not inside"
-// so that NaN, which compares false with everything, is outside as well.
-func (c *checker) part(place Locator, key string, value float64) bool {
+// fraction reports numbers outside 0 to 1. The condition tests for values inside
+// the range, so that NaN, which compares false with everything, is rejected too.
+func (c *checker) fraction(locate Locator, key string, value float64) bool {
 	if value >= 0 && value <= 1 {
 		return true
 	}
-	c.add(place, CodeOutOfRange, key, "give a part from 0 to 1", "%v is not a part", value)
+	c.add(locate, CodeOutOfRange, key, "give a part from 0 to 1", "%v is not between 0 and 1", value)
 	return false
 }
 
-// wait finds times that are negative or absurdly long; zero is let through
-// where the key may be left out.
-func (c *checker) wait(place Locator, key string, value time.Duration, mayBeZero bool) {
-	if value > MaxTimeout || value < 0 || value == 0 && !mayBeZero {
-		c.add(place, CodeOutOfRange, key, `give a time such as "2s"`, "%s must be above zero and at most %s", value, MaxTimeout)
+// timeout reports durations that are negative or above MaxTimeout. Zero is
+// accepted only for optional keys.
+func (c *checker) timeout(locate Locator, key string, value time.Duration, allowZero bool) {
+	if value > MaxTimeout || value < 0 || value == 0 && !allowZero {
+		c.add(locate, CodeOutOfRange, key, `set a duration such as "2s"`, "%s must be above zero and at most %s", value, MaxTimeout)
 	}
 }
 
-func (c *checker) count(place Locator, key string, value, most int) {
-	if value < 1 || value > most {
-		c.add(place, CodeOutOfRange, key, fmt.Sprintf("give 1 to %d", most), "%s is %d", key, value)
+func (c *checker) count(locate Locator, key string, value, maximum int) {
+	if value < 1 || value > maximum {
+		c.add(locate, CodeOutOfRange, key, fmt.Sprintf("set a value from 1 to %d", maximum), "%s is %d", key, value)
 	}
 }
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -1,6 +1,7 @@
-// Package contract models what operators write: services with the capacity
-// that the firm has committed to, and one contract per customer from which
-// every limit, route and share of capacity follows. The package is pure.
+// Package contract defines the configuration that operators write: services with
+// their committed capacity, and one contract per customer, which sets the
+// customer's limits, routes and shares of capacity. The package does no I/O and
+// reads no clock.
 package contract
 
 import (
@@ -12,32 +13,33 @@
 	"tamarackquay/internal/tomlfile"
 )
 
-// Service is a set of interchangeable upstreams. Which upstreams live at the
-// moment is membership's business; a service says only what is committed, so
-// that endpoint churn never makes a configuration version.
+// Service is a set of interchangeable upstreams. It holds only the committed
+// capacity; the upstreams that are currently live come from membership, so
+// endpoint churn never creates a configuration version.
 type Service struct {
 	Name string `toml:"name" cbor:"name"`
-	// Slots is how many requests one upstream runs at a time.
+	// Slots is the number of requests that one upstream runs concurrently.
 	Slots int `toml:"slots" cbor:"slots"`
-	// MaxConnections bounds the connections that one upstream takes.
+	// MaxConnections is the maximum number of connections to one upstream.
 	MaxConnections int `toml:"max_connections" cbor:"max_connections"`
 	// Committed is the number of upstreams paid for in each failure domain.
 	Committed map[string]int `toml:"committed" cbor:"committed"`
-	// SlowStart is how long a cold upstream takes to reach its full weight;
-	// zero means that it starts at full weight.
+	// SlowStart is the time in which the weight of a newly started upstream rises
+	// to its full value; zero means that it starts at full weight.
 	SlowStart tomlfile.Duration `toml:"slow_start" cbor:"slow_start"`
-	// LongLent is the part of the slots guaranteed to customers that long
-	// requests of other customers may borrow, 0 to 1. Such a slot comes back
-	// only after minutes. Absent means DefaultLongLent.
+	// LongBorrowLimit is the fraction, 0 to 1, of the guaranteed slots of
+	// customers that long requests of other customers may borrow. A slot borrowed
+	// by a long request is returned only after minutes. Absent means
+	// DefaultLongBorrowLimit.
 	LongBorrowLimit *float64 `toml:"long_lent" cbor:"long_lent,omitempty"`
 }
 
-// DefaultLongLent lends nothing: with a quarter, customers that paused were
-// kept to 0.75 of their contract when they came back
+// DefaultLongBorrowLimit lets long requests borrow nothing. With 0.25, customers
+// that had paused got only 0.75 of their contract when they sent requests again
 // (docs/measurements/admission.md).
 const DefaultLongBorrowLimit = 0.0
 
-// LongLentPart is LongLent or its default.
+// LongBorrowLimitOrDefault returns LongBorrowLimit or its default.
 func (s *Service) LongBorrowLimitOrDefault() float64 {
 	if s.LongBorrowLimit == nil {
 		return DefaultLongBorrowLimit
@@ -45,7 +47,8 @@
 	return *s.LongBorrowLimit
 }
 
-// CommittedUpstreams is the number of upstreams paid for over all domains.
+// CommittedUpstreams returns the number of upstreams paid for in all failure
+// domains together.
 func (s *Service) CommittedUpstreams() int {
 	total := 0
 	for _, n := range s.Committed {
@@ -54,65 +57,66 @@
 	return total
 }
 
-// Contract is everything that one customer was promised.
+// Contract holds everything that is guaranteed and permitted to one customer.
 type Contract struct {
 	Customer string `toml:"customer" cbor:"customer"`
 	// TokenHashes are lower-case hex SHA-256 digests of the customer's caller
-	// tokens. More than one is accepted so that tokens can be rotated.
+	// tokens. Several are allowed so that tokens can be rotated.
 	TokenHashes []string `toml:"token_hashes" cbor:"token_hashes"`
-	// Classes are ordered: a request of an earlier class is served first.
+	// Classes lists priority classes; requests of earlier classes are served first.
 	Classes []string `toml:"classes" cbor:"classes"`
 	Grants  []Grant  `toml:"grant" cbor:"grant"`
 	Routes  []Route  `toml:"route" cbor:"route"`
 }
 
-// Grant is a customer's promised part of one service.
+// Grant is a customer's share of one service.
 type Grant struct {
 	Service string `toml:"service" cbor:"service"`
-	// Share is the guaranteed part of the service's slots, 0 to 1.
+	// Share is the guaranteed fraction of the service's slots, 0 to 1.
 	Share float64 `toml:"share" cbor:"share"`
-	// Limit is the largest part of the service's slots that the customer may
-	// hold, guarantee and borrowed slots together, 0 to 1.
+	// Limit is the largest fraction of the service's slots, 0 to 1, that the
+	// customer may hold, guaranteed and borrowed slots together.
 	Limit float64 `toml:"limit" cbor:"limit"`
-	// LongLimit is the largest part of the service's slots that the
-	// customer's long requests may hold, 0 to 1; 0 or absent means Limit.
+	// LongLimit is the largest fraction of the service's slots, 0 to 1, that the
+	// customer's long requests may hold; 0 or absent means Limit.
 	LongLimit float64 `toml:"long_limit" cbor:"long_limit,omitempty"`
 }
 
-// Route maps a caller's path onto a service.
+// Route maps request paths to a service.
 type Route struct {
 	Name string `toml:"name" cbor:"name"`
-	// Prefix matches request paths at whole segments; the longest match wins.
+	// Prefix matches whole segments of request paths; the longest match wins.
 	Prefix  string `toml:"prefix" cbor:"prefix"`
 	Service string `toml:"service" cbor:"service"`
 	Class   string `toml:"class" cbor:"class"`
 	// Methods lists the accepted HTTP methods; empty means GET and HEAD.
 	Methods []string `toml:"methods" cbor:"methods"`
-	// Idempotent requests may run again after an unknown outcome. Others run
-	// at most once.
+	// Idempotent requests may be retried after an unknown outcome. All others
+	// run at most once.
 	Idempotent bool `toml:"idempotent" cbor:"idempotent"`
-	// Deadline bounds the time from arrival to the first byte of the answer.
+	// Deadline limits the time from arrival to the first byte of the response.
 	Deadline tomlfile.Duration `toml:"deadline" cbor:"deadline"`
-	// Stall bounds the time between two bytes of the answer's body.
+	// StallTimeout limits the time between two bytes of the response body.
 	StallTimeout tomlfile.Duration `toml:"stall" cbor:"stall"`
-	// Long marks requests that hold a slot for minutes; admission bounds how
-	// many lent slots they may take.
+	// Long marks requests that hold a slot for minutes; admission limits the
+	// number of slots that they may borrow.
 	Long bool `toml:"long" cbor:"long"`
-	// Spill says how far from its entry a request may be served.
+	// Spill limits the distance between entry node and target.
 	Spill Spill `toml:"spill" cbor:"spill"`
 }
 
-// Spill is how far from its entry node a request may go for a free target.
+// Spill is the greatest distance from the entry node at which a request may be
+// served.
 type Spill string
 
-// The reaches of a route, nearest first. The empty Spill means SpillAnywhere.
+// The values of Spill, nearest first. An empty Spill means SpillAnywhere.
 const (
 	SpillDomain   Spill = "domain"
 	SpillRegion   Spill = "region"
 	SpillAnywhere Spill = "anywhere"
 )
 
-// AcceptsMethod reports whether the route takes the HTTP method.
+// AcceptsMethod reports whether the route accepts the HTTP method.
 func (r *Route) AcceptsMethod(method string) bool {
 	if len(r.Methods) == 0 {
 		return method == "GET" || method == "HEAD"
@@ -151,8 +155,8 @@
 	return best
 }
 
-// ClassRank is the position of a class in the contract's order, 0 first.
-// Classes that the contract doesn't name come last.
+// ClassRank returns the position of a class in the contract's order, starting at
+// 0. Classes that the contract doesn't list come last.
 func (c *Contract) ClassRank(class string) int {
 	if rank := slices.Index(c.Classes, class); rank >= 0 {
 		return rank
@@ -160,13 +164,13 @@
 	return len(c.Classes)
 }
 
-// HashToken returns the form of a caller token that stands in contracts.
+// HashToken returns the digest of a caller token as written in contracts.
 func HashToken(token string) string {
 	digest := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(digest[:])
 }
 
-// Set is the whole configuration: what one version holds.
+// Set is the complete configuration of one version.
 type Set struct {
 	Services  []Service
 	Contracts []Contract
--- a/internal/contract/parse_test.go
+++ b/internal/contract/parse_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, dir := range []string{"co-operative", "lighting-records"} {
 		var sources []Source
 		for _, name := range []string{"services.toml", "contracts.toml"} {
@@ -22,8 +22,8 @@
 	}
 }
 
-// The contract that the operators' page tells newcomers to start from is good.
-func TestDocumentedContractIsGood(t *testing.T) {
+// The example contract in the operators' documentation must be valid.
+func TestDocumentedContractIsValid(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/contracts.md")
 	assert.NilError(t, err)
 	_, rest, _ := strings.Cut(string(page), "```toml\n")
@@ -33,9 +33,9 @@
 	assert.NilError(t, faults.AsError())
 }
 
-// Faults of form and of meaning in two contracts come together with their
-// lines, so that an operator mends all of them in one go.
-func TestFindingsCarryTheirPlace(t *testing.T) {
+// Syntax and semantic faults in two contracts are reported in one run, each with
+// its line, so that an operator can correct all of them at once.
+func TestFindingsCarryLineNumbers(t *testing.T) {
 	source := `[[service]]
 name = "tally"
 slots = 4
@@ -67,21 +67,21 @@
 stall = "1s"
 `
 	_, found := Parse([]Source{{Name: "c.toml", Text: []byte(source)}})
-	type place struct {
+	type position struct {
 		Line int
 		Code string
 	}
-	var places []place
+	var positions []position
 	for _, f := range found {
-		places = append(places, place{f.Line, string(f.Code)})
+		positions = append(positions, position{f.Line, string(f.Code)})
 	}
-	assert.DeepEqual(t, places, []place{
+	assert.DeepEqual(t, positions, []position{
 		{8, string(CodeBadToken)}, {13, string(CodeLimitBelow)}, {18, "unknown-key"},
 		{21, string(CodeOvercommitted)}, {26, string(CodeUnknownService)},
 	})
 }
 
-// Whatever an operator's file holds, parsing ends in a set or in findings.
+// Parse must return a set, with or without findings, for any file content.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[[service]]\nname = 1\n"))
 	f.Add([]byte("[[contract]]\n[[contract.grant]]\nshare = nan\n"))
