--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -93,7 +93,7 @@
 			n := newEntry(t, owners)
 			content, _, err := fetch(t, n, c.byteRange)
 			for target := range n.targets.service("tally").pool.Load().all {
-				assert.Equal(t, target.stats.Open(), 0, "a slot of %s is held for ever", target.vm.ID)
+				assert.Equal(t, target.stats.InFlight(), 0, "a slot of %s is held for ever", target.vm.ID)
 			}
 			if !c.whole {
 				assert.Assert(t, err != nil, "%d bytes passed for whole", len(content))
--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -82,7 +82,7 @@
 func (s *Stats) End() { s.open-- }
 
 // Open is the number of attempts that run.
-func (s *Stats) Open() int { return s.open }
+func (s *Stats) InFlight() int { return s.open }
 
 // Answered takes an answer that came after the latency.
 func (s *Stats) RecordResponse(now time.Time, latency time.Duration) {
