--- a/internal/routing/clientretry/clientretry.go
+++ b/internal/routing/clientretry/clientretry.go
@@ -1,9 +1,9 @@
-// Package clientretry recognises a request that its caller sends once more after
-// it was refused or failed. It answers the load of an overload of some seconds,
-// in which refused callers come back beside new ones: an answer is wanted within
-// a time from the caller's first attempt, so most that come back can't be in time
-// any more. Taken for new ones, they took the slots of those that still could.
-// The package is pure: time is handed in.
+// Package clientretry recognises retries by callers whose request was refused or
+// failed. During an overload of some seconds, refused callers retry while new
+// requests arrive. A response is due within a time from the caller's first attempt,
+// so most retries can no longer be served in time. If they were treated as new
+// requests, they would take the slots of requests that can still be served in time.
+// The package is pure: callers pass in the time.
 package clientretry
 
 import (
@@ -12,93 +12,95 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request identifies what a caller asks for.
+// Request identifies a caller's request.
 type Request struct {
 	Method, Host, URI string
-	// Ends is when the caller stops waiting. It is the same moment in each of its
-	// attempts, whatever their ids.
+	// Deadline is the time at which the caller stops waiting. It is the same for
+	// all attempts of a request, although their ids differ.
 	Deadline time.Time
 }
 
 const (
-	// sameEnd is by how much the ends of two attempts of one caller may differ:
-	// each is counted from when the message arrives, which a busy node notices
-	// late. Another caller of the same resource whose end is as close began at
-	// about the same moment, so that taking it for this one does little harm.
-	sameEnd = 50 * time.Millisecond
-	// mostRemembered bounds the memory to some hundred kilobytes. Older attempts
-	// are forgotten first, whose callers are then taken for new ones.
-	mostRemembered = 4096
+	// deadlineTolerance is the maximum difference between the deadlines of two
+	// attempts of one caller. Each deadline is computed from the arrival of the
+	// message, which a busy node notices late. Another caller of the same resource
+	// with a deadline this close began at about the same time, so confusing the
+	// two does little harm.
+	deadlineTolerance = 50 * time.Millisecond
+	// maxTracked limits the tracker to some hundred kilobytes. The oldest attempts
+	// are evicted first; their callers are then treated as new.
+	maxTracked = 4096
 )
 
-// Memory holds the failed attempts of callers that may come back. It is not safe
-// for concurrent use.
+// Tracker tracks the failed attempts of callers that may retry. It is not safe for
+// concurrent use.
 type Tracker struct {
 	failed map[uint64][]attempt
-	// order lists what was remembered, oldest first.
-	order []remembered
+	// order lists the tracked attempts, oldest first.
+	order []trackedAttempt
 }
 
-// attempt is one that failed, of a caller that began at first.
-type attempt struct{ first, ends time.Time }
+// attempt is a failed attempt of a caller whose first attempt was at first.
+type attempt struct{ first, deadline time.Time }
 
-type remembered struct {
-	key  uint64
-	ends time.Time
+type trackedAttempt struct {
+	key      uint64
+	deadline time.Time
 }
 
-// NewMemory returns an empty memory.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker { return &Tracker{failed: map[uint64][]attempt{}} }
 
 func (r *Request) key() uint64 {
 	return xxhash.Sum64String(r.Method + " " + r.Host + " " + r.URI)
 }
 
-// First returns when the caller of a request that arrives now made its first
-// attempt: now, unless an attempt of it is remembered, which is then forgotten.
-func (m *Tracker) FirstAttempt(now time.Time, r *Request) time.Time {
+// FirstAttempt returns the time of the first attempt of the caller whose request
+// arrives now. It is now, unless an earlier attempt is tracked, which is then
+// removed.
+func (t *Tracker) FirstAttempt(now time.Time, r *Request) time.Time {
 	key := r.key()
-	for i, a := range m.failed[key] {
-		if a.ends.Sub(r.Deadline).Abs() <= sameEnd {
-			m.remove(key, i)
+	for i, a := range t.failed[key] {
+		if a.deadline.Sub(r.Deadline).Abs() <= deadlineTolerance {
+			t.remove(key, i)
 			return a.first
 		}
 	}
 	return now
 }
 
-// Failed remembers an attempt that didn't get what it asked for, of a caller that
-// began at first. One that has stopped waiting doesn't come back.
-func (m *Tracker) RecordFailure(now time.Time, r *Request, first time.Time) {
-	m.forget(now)
+// RecordFailure tracks a failed attempt of a caller whose first attempt was at
+// first. A caller that has stopped waiting is not tracked, since it won't retry.
+func (t *Tracker) RecordFailure(now time.Time, r *Request, first time.Time) {
+	t.evict(now)
 	if !r.Deadline.After(now) {
 		return
 	}
 	key := r.key()
-	m.failed[key] = append(m.failed[key], attempt{first: first, ends: r.Deadline})
-	m.order = append(m.order, remembered{key: key, ends: r.Deadline})
+	t.failed[key] = append(t.failed[key], attempt{first: first, deadline: r.Deadline})
+	t.order = append(t.order, trackedAttempt{key: key, deadline: r.Deadline})
 }
 
-// forget drops attempts whose callers have stopped waiting, and the oldest beyond
-// mostRemembered.
-func (m *Tracker) forget(now time.Time) {
-	for len(m.order) > 0 && (len(m.order) >= mostRemembered || !m.order[0].ends.After(now)) {
-		oldest := m.order[0]
-		m.order = m.order[1:]
-		for i, a := range m.failed[oldest.key] {
-			if a.ends.Equal(oldest.ends) {
-				m.remove(oldest.key, i)
+// evict removes attempts whose callers have stopped waiting, and the oldest ones
+// so that fewer than maxTracked are left.
+func (t *Tracker) evict(now time.Time) {
+	for len(t.order) > 0 && (len(t.order) >= maxTracked || !t.order[0].deadline.After(now)) {
+		oldest := t.order[0]
+		t.order = t.order[1:]
+		for i, a := range t.failed[oldest.key] {
+			if a.deadline.Equal(oldest.deadline) {
+				t.remove(oldest.key, i)
 				break
 			}
 		}
 	}
 }
 
-func (m *Tracker) remove(key uint64, i int) {
-	kept := append(m.failed[key][:i], m.failed[key][i+1:]...)
+func (t *Tracker) remove(key uint64, i int) {
+	kept := append(t.failed[key][:i], t.failed[key][i+1:]...)
 	if len(kept) == 0 {
-		delete(m.failed, key)
+		delete(t.failed, key)
 		return
 	}
-	m.failed[key] = kept
+	t.failed[key] = kept
 }
--- a/internal/routing/p2c/p2c.go
+++ b/internal/routing/p2c/p2c.go
@@ -1,6 +1,7 @@
-// Package p2c picks the cheaper of two random candidates. Unlike picking the
-// cheapest of all, it doesn't send every entry node to the same target while
-// their knowledge is stale (Mitzenmacher, 2001).
+// Package p2c implements the power of two choices: it picks the cheaper of two
+// random candidates. Picking the cheapest of all candidates would send the
+// requests of all entry nodes to the same target while their load information is
+// stale (Mitzenmacher, 2001).
 package p2c
 
 import (
@@ -14,8 +15,8 @@
 
 var _ routing.Policy = Policy{}
 
-// Pick implements routing.Policy. The two candidates always differ, so a bad
-// one is taken only when its rival is worse.
+// Pick implements routing.Policy. The two candidates are always different, so an
+// expensive one is picked only if the other one is not cheaper.
 func (Policy) Pick(group routing.Group, random *rand.Rand) int {
 	count := group.Len()
 	if count == 1 {
--- a/internal/routing/random/random.go
+++ b/internal/routing/random/random.go
@@ -1,4 +1,5 @@
-// Package random picks any candidate, whatever its cost. It is a baseline.
+// Package random picks a random candidate regardless of cost. It serves as a
+// baseline for comparisons.
 package random
 
 import (
--- a/internal/routing/retry/calls.go
+++ b/internal/routing/retry/calls.go
@@ -2,68 +2,71 @@
 
 import "time"
 
-// calling is how many calls the runs of each route make to each service. A node
-// sees calls come while several runs are under way and not which of them made
-// one. So each call is divided among those runs by how often their routes have
-// called so far, which singles out the routes that call within some tens of calls.
-type calling struct {
-	routes map[string]*routeCalls
-	// halveAt is when all counts are halved next, so that a route whose runs
-	// changed is learnt anew.
+// callStats estimates the number of calls that the runs of each route make to each
+// service. A node receives calls while several runs are in progress and can't see
+// which of them made a call. So each call is divided among those runs in proportion
+// to the call rates of their routes so far. Within some tens of calls this
+// identifies the routes that make calls.
+type callStats struct {
+	routes map[string]*routeStats
+	// halveAt is the time at which all counts are halved next, so that the estimate
+	// adapts to routes whose behaviour has changed.
 	halveAt time.Time
 }
 
-// routeCalls counts for one route.
-type routeCalls struct {
+// routeStats holds the counts of one route.
+type routeStats struct {
 	runs float64
-	// busy is for how many seconds its runs held the target.
-	busy float64
-	// made are the calls by service.
-	made map[string]float64
+	// busySeconds is the total duration of its runs at the target.
+	busySeconds float64
+	// calls counts the calls by service.
+	calls map[string]float64
 }
 
-// What every route is taken to have done before anything was seen: a call to each
-// service in a second of its runs' time.
+// Prior of the call rate of a route without observations: one call to each service
+// per second of its runs' time.
 const (
 	priorCalls   = 1
 	priorSeconds = 1
 )
 
-func newCalling() *calling { return &calling{routes: map[string]*routeCalls{}} }
+func newCallStats() *callStats { return &callStats{routes: map[string]*routeStats{}} }
 
-func (c *calling) route(name string) *routeCalls {
+func (c *callStats) route(name string) *routeStats {
 	r := c.routes[name]
 	if r == nil {
-		r = &routeCalls{made: map[string]float64{}}
+		r = &routeStats{calls: map[string]float64{}}
 		c.routes[name] = r
 	}
 	return r
 }
 
-// rate is how often a run of the route calls the service, in calls a second.
-func (r *routeCalls) rate(service string) float64 {
-	return (r.made[service] + priorCalls) / (r.busy + priorSeconds)
+// callRate returns the estimated call rate of a run of the route to the service, in
+// calls per second.
+func (r *routeStats) callRate(service string) float64 {
+	return (r.calls[service] + priorCalls) / (r.busySeconds + priorSeconds)
 }
 
-// perRun is how many calls to the service a run of the route makes.
-func (r *routeCalls) perRun(service string) float64 {
+// callsPerRun returns the average number of calls to the service per run of the
+// route.
+func (r *routeStats) callsPerRun(service string) float64 {
 	if r.runs == 0 {
 		return 0
 	}
-	return r.made[service] / r.runs
+	return r.calls[service] / r.runs
 }
 
-// age halves all counts once a span.
-func (c *calling) age(now time.Time, span time.Duration) {
+// decay halves all counts once per period and removes routes with less than one run.
+func (c *callStats) decay(now time.Time, period time.Duration) {
 	if now.Before(c.halveAt) {
 		return
 	}
-	c.halveAt = now.Add(span)
+	c.halveAt = now.Add(period)
 	for name, r := range c.routes {
 		r.runs /= 2
-		r.busy /= 2
-		for service := range r.made {
-			r.made[service] /= 2
+		r.busySeconds /= 2
+		for service := range r.calls {
+			r.calls[service] /= 2
 		}
 		if r.runs < 1 {
 			delete(c.routes, name)
--- a/internal/routing/retry/ledger.go
+++ b/internal/routing/retry/ledger.go
@@ -2,160 +2,164 @@
 
 import "time"
 
-// Terms bound the repeats of the whole fleet at one service.
+// Limits limit the retries of the whole fleet at one service.
 type Limits struct {
-	// Ratio is the part of a service's requests that may be repeats.
+	// Ratio is the maximum ratio of retries to the service's requests.
 	Ratio float64
-	// Few is this node's part of the few repeats that are allowed besides.
+	// Slack is this node's share of the number of retries that are allowed in
+	// addition to the ratio.
 	Slack float64
 }
 
-// Ledger is a node's part of a budget that the whole fleet keeps without talking
-// about it: over any span, the arrivals at a service beyond the first of each
-// request may be at most a ratio of its requests, and a few besides. The ratios
-// of all nodes add up, since each counts only the requests that it took itself;
-// the few are divided among the nodes.
+// FleetBudget is one node's share of a retry budget that the whole fleet keeps
+// without communication between nodes: in any window, the retries at a service may be
+// at most a ratio of its requests, plus a fixed slack. Each node counts only the
+// requests that it received as entry node, so the retries that the nodes allow add up
+// to the ratio of all requests. The slack is divided among the nodes.
 //
-// A call that a repeated run makes is a repeat at the service that is called. The
-// node beside the target sees both, the run as its owner and the call as its entry.
-// A request that may be a call is charged with the part that repeats have of the
-// runs which may have made it, and a repeated run is begun only where the budget has
-// room for the calls that it will make. Without that, the calls of repeated runs came
-// on top of a budget that was used up: services whose targets turned work away got
-// more repeats than allowed.
+// A call made by a retried run is a retry at the called service. The node of the
+// target's VM handles both: it owns the run and is the entry node of the call. A
+// request that may be such a call is counted as a retry with the probability that a
+// retried run made it, and a retried run is started only if the budget allows the
+// calls that it will make. Otherwise the calls of retried runs would come on top of a
+// budget that is already used up, and services whose targets shed load would get more
+// retries than allowed.
 //
-// A Ledger is not safe for concurrent use.
+// A FleetBudget is not safe for concurrent use.
 type FleetBudget struct {
-	span     time.Duration
-	services map[string]*window
-	calling  *calling
-	// running holds the runs at the VM's own target by attempt.
+	windowLength time.Duration
+	windows      map[string]*window
+	callStats    *callStats
+	// running holds the runs in progress at the VM's own target, by attempt id.
 	running map[string]*run
 }
 
-// Run is a request that the VM's own target works on.
+// Run is a request that runs at the VM's own target.
 type Run struct {
 	Route string
-	// Part is the chance that it is a repeat: 1 for a further attempt, less for
-	// what a repeated run may have called.
+	// RetryProbability is the probability that the run is a retry: 1 for a retry by
+	// a node, less for a call that a retried run may have made.
 	RetryProbability float64
-	// Ends is when its calls expire at the latest.
+	// Deadline is the latest time at which its calls expire.
 	Deadline time.Time
 }
 
 type run struct {
 	Run
-	began time.Time
+	start time.Time
 }
 
-// NewLedger returns an empty ledger for windows of a span; zero means DefaultSpan.
-func NewFleetBudget(span time.Duration) *FleetBudget {
-	if span <= 0 {
-		span = DefaultWindow
+// NewFleetBudget returns an unused budget with the given window length; zero means
+// DefaultWindow.
+func NewFleetBudget(windowLength time.Duration) *FleetBudget {
+	if windowLength <= 0 {
+		windowLength = DefaultWindow
 	}
-	return &FleetBudget{span: span, services: map[string]*window{}, calling: newCalling(), running: map[string]*run{}}
+	return &FleetBudget{windowLength: windowLength, windows: map[string]*window{}, callStats: newCallStats(), running: map[string]*run{}}
 }
 
-// Request counts a request for a service and returns the chance that it is a call
-// of a repeated run. Calls expire with the run that made them, so a request that
-// is wanted for longer than every run of the VM's own target is none; zero ends
-// means that the caller didn't say.
-func (l *FleetBudget) CountRequest(now time.Time, service string, ends time.Time) (part float64) {
-	s := l.window(service).slot(now)
-	s.requests++
-	part = l.charge(service, ends)
-	s.repeats += part
-	return part
+// CountRequest counts a request for a service and returns the probability that it is
+// a call of a retried run. Calls expire with the run that made them, so a request
+// with a later deadline than every run of the VM's own target is not a call. A zero
+// deadline means that the caller gave none.
+func (f *FleetBudget) CountRequest(now time.Time, service string, deadline time.Time) (retryProbability float64) {
+	b := f.window(service).bucket(now)
+	b.requests++
+	retryProbability = f.attributeCall(service, deadline)
+	b.retries += retryProbability
+	return retryProbability
 }
 
-// deadlineSlack is how much later than its run a call may seem to end: deadlines are
-// counted from when each message arrives, which a busy node notices late.
-const deadlineSlack = 50 * time.Millisecond
+// deadlineTolerance is the maximum time by which the deadline of a call may appear to
+// be later than that of its run. Deadlines are computed from the arrival of each
+// message, which a busy node notices late.
+const deadlineTolerance = 50 * time.Millisecond
 
-// charge divides what may be a call among the runs that may have made it, and
-// returns the part that repeats have of it.
-func (l *FleetBudget) charge(service string, ends time.Time) (part float64) {
-	total, repeated := 0.0, 0.0
-	shares := map[*routeCalls]float64{}
-	for _, r := range l.running {
-		if !ends.IsZero() && ends.After(r.Deadline.Add(deadlineSlack)) {
+// attributeCall divides a request that may be a call among the runs that may have
+// made it, and returns the probability that a retried run made it.
+func (f *FleetBudget) attributeCall(service string, deadline time.Time) (retryProbability float64) {
+	totalRate, retryRate := 0.0, 0.0
+	shares := map[*routeStats]float64{}
+	for _, r := range f.running {
+		if !deadline.IsZero() && deadline.After(r.Deadline.Add(deadlineTolerance)) {
 			continue
 		}
-		route := l.calling.route(r.Route)
-		rate := route.rate(service)
+		route := f.callStats.route(r.Route)
+		rate := route.callRate(service)
 		shares[route] += rate
-		total += rate
-		repeated += rate * r.RetryProbability
+		totalRate += rate
+		retryRate += rate * r.RetryProbability
 	}
-	if total == 0 {
+	if totalRate == 0 {
 		return 0
 	}
 	for route, share := range shares {
-		route.made[service] += share / total
+		route.calls[service] += share / totalRate
 	}
-	return repeated / total
+	return retryRate / totalRate
 }
 
-// Repeat counts a further attempt at a service, or reports false when the terms
-// don't allow one.
-func (l *FleetBudget) AllowRetry(now time.Time, service string, terms Limits) bool {
-	if !l.hasRoom(now, service, terms, 1) {
+// AllowRetry counts a retry at a service, or returns false if the limits don't allow
+// one.
+func (f *FleetBudget) AllowRetry(now time.Time, service string, limits Limits) bool {
+	if !f.allows(now, service, limits, 1) {
 		return false
 	}
-	l.window(service).slot(now).repeats++
+	f.window(service).bucket(now).retries++
 	return true
 }
 
-// hasRoom reports whether the budget of a service has room for so many repeats more,
-// beside the calls that the repeats which run by now will make.
-func (l *FleetBudget) hasRoom(now time.Time, service string, terms Limits, more float64) bool {
-	for _, r := range l.running {
+// allows reports whether the budget of a service allows extra more retries, in
+// addition to the calls expected from the retried runs in progress.
+func (f *FleetBudget) allows(now time.Time, service string, limits Limits, extra float64) bool {
+	for _, r := range f.running {
 		if r.RetryProbability > 0 {
-			more += r.RetryProbability * l.calling.route(r.Route).perRun(service)
+			extra += r.RetryProbability * f.callStats.route(r.Route).callsPerRun(service)
 		}
 	}
-	total := l.window(service).sum(now)
-	return total.repeats+more <= ownPart*(terms.Ratio*float64(total.requests)+terms.Slack)
+	total := f.window(service).sum(now)
+	return total.retries+extra <= localFraction*(limits.Ratio*float64(total.requests)+limits.Slack)
 }
 
-// ownPart is the part of its budget that a node uses up by its own repeats. Along a
-// chain of calls a node gets calls of repeated runs that it can't refuse any more,
-// also when its part is used up, and no other node knows to make room for them.
-const ownPart = 0.85
+// localFraction is the fraction of its budget that a node may use up with its own
+// retries. The rest is reserved: along a chain of calls a node receives calls of
+// retried runs that it can no longer refuse, even if its budget is used up, and no
+// other node can reserve budget for them.
+const localFraction = 0.85
 
-// Begin takes a run at the VM's own target. It reports false for a repeat whose
-// calls the budget has no room for; the run must not begin then. After true, End
+// BeginRun records a run at the VM's own target. It returns false for a retry whose
+// expected calls exceed the budget; the run must not start then. After true, EndRun
 // must be called.
-func (l *FleetBudget) BeginRun(now time.Time, attempt string, r Run, terms Limits) bool {
-	l.calling.age(now, l.span)
-	route := l.calling.route(r.Route)
+func (f *FleetBudget) BeginRun(now time.Time, attempt string, r Run, limits Limits) bool {
+	f.callStats.decay(now, f.windowLength)
+	route := f.callStats.route(r.Route)
 	if r.RetryProbability >= 1 {
-		for service := range route.made {
-			if calls := route.perRun(service); calls > 0 && !l.hasRoom(now, service, terms, calls) {
+		for service := range route.calls {
+			if calls := route.callsPerRun(service); calls > 0 && !f.allows(now, service, limits, calls) {
 				return false
 			}
 		}
 	}
 	route.runs++
-	l.running[attempt] = &run{Run: r, began: now}
+	f.running[attempt] = &run{Run: r, start: now}
 	return true
 }
 
-// End takes the end of a run; unknown ones are left alone.
-func (l *FleetBudget) EndRun(now time.Time, attempt string) {
-	r := l.running[attempt]
+// EndRun records the end of a run. Unknown attempts are ignored.
+func (f *FleetBudget) EndRun(now time.Time, attempt string) {
+	r := f.running[attempt]
 	if r == nil {
 		return
 	}
-	delete(l.running, attempt)
-	l.calling.route(r.Route).busy += max(0, now.Sub(r.began)).Seconds()
+	delete(f.running, attempt)
+	f.callStats.route(r.Route).busySeconds += max(0, now.Sub(r.start)).Seconds()
 }
 
-func (l *FleetBudget) window(service string) *window {
-	w := l.services[service]
+func (f *FleetBudget) window(service string) *window {
+	w := f.windows[service]
 	if w == nil {
-		w = newWindow(l.span)
-		l.services[service] = w
+		w = newWindow(f.windowLength)
+		f.windows[service] = w
 	}
 	return w
 }
--- a/internal/routing/retry/ledger_test.go
+++ b/internal/routing/retry/ledger_test.go
@@ -9,96 +9,97 @@
 	"pgregory.net/rapid"
 )
 
-// Requests and repeats come in bursts of any size. In every span of the window's
-// length, wherever it begins, the repeats stay within the terms.
+// Requests and retries come in bursts of any size. In every interval of the window's
+// length, wherever it begins, the retries must stay within the limits.
 func TestLedgerHoldsInEverySpan(t *testing.T) {
-	terms := Limits{Ratio: 0.2, Slack: 3}
+	limits := Limits{Ratio: 0.2, Slack: 3}
 	rapid.Check(t, func(t *rapid.T) {
-		span := time.Duration(rapid.IntRange(2, 20).Draw(t, "span")) * time.Second
-		l := NewFleetBudget(span)
+		window := time.Duration(rapid.IntRange(2, 20).Draw(t, "window")) * time.Second
+		budget := NewFleetBudget(window)
 		type event struct {
-			at     time.Time
-			repeat bool
+			at    time.Time
+			retry bool
 		}
 		var events []event
 		now := time.Unix(1_000_000, 0)
 		for range rapid.IntRange(1, 60).Draw(t, "bursts") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "pause")) * time.Millisecond)
 			for range rapid.IntRange(0, 20).Draw(t, "requests") {
-				l.CountRequest(now, "s", now.Add(time.Second))
+				budget.CountRequest(now, "s", now.Add(time.Second))
 				events = append(events, event{now, false})
 			}
-			for range rapid.IntRange(0, 10).Draw(t, "repeats") {
-				if l.AllowRetry(now, "s", terms) {
+			for range rapid.IntRange(0, 10).Draw(t, "retries") {
+				if budget.AllowRetry(now, "s", limits) {
 					events = append(events, event{now, true})
 				}
 			}
 		}
 		for i := range events {
-			requests, repeats := 0, 0
-			// The users count requests of this window or of the one before.
+			requests, retries := 0, 0
+			// Operators count the requests of this window or of the one before.
 			for _, e := range events {
 				since := e.at.Sub(events[i].at)
-				if since >= 0 && since < span && e.repeat {
-					repeats++
+				if since >= 0 && since < window && e.retry {
+					retries++
 				}
-				if since >= -span && since < span && !e.repeat {
+				if since >= -window && since < window && !e.retry {
 					requests++
 				}
 			}
-			if float64(repeats) > terms.Ratio*float64(requests)+terms.Slack {
-				t.Fatalf("%d repeats of %d requests in %s", repeats, requests, span)
+			if float64(retries) > limits.Ratio*float64(requests)+limits.Slack {
+				t.Fatalf("%d retries for %d requests in %s", retries, requests, window)
 			}
 		}
 	})
 }
 
-func TestLedgerForgets(t *testing.T) {
-	terms := Limits{Slack: 2}
-	l := NewFleetBudget(0)
+func TestFleetBudgetExpires(t *testing.T) {
+	limits := Limits{Slack: 2}
+	budget := NewFleetBudget(0)
 	now := time.Unix(1_000_000, 0)
-	assert.Assert(t, l.AllowRetry(now, "s", terms))
-	assert.Assert(t, !l.AllowRetry(now.Add(9*time.Second), "s", terms))
-	assert.Assert(t, l.AllowRetry(now.Add(11*time.Second), "s", terms))
+	assert.Assert(t, budget.AllowRetry(now, "s", limits))
+	assert.Assert(t, !budget.AllowRetry(now.Add(9*time.Second), "s", limits))
+	assert.Assert(t, budget.AllowRetry(now.Add(11*time.Second), "s", limits))
 }
 
-// Two routes run at a target, mostly at the same time, and one of them calls, which
-// no node can see. Within some seconds nearly all calls are put down to its runs.
-func TestCallsArePutDownToTheRouteThatMakesThem(t *testing.T) {
-	l := NewFleetBudget(0)
+// Two routes run at a target, mostly at the same time, and only one of them makes
+// calls. No node can see which. Within some seconds nearly all calls must be
+// attributed to that route.
+func TestCallsAreAttributedToTheCallingRoute(t *testing.T) {
+	budget := NewFleetBudget(0)
 	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1_000_000, 0)
 	ordering := false
 	for range 400 {
-		ends := now.Add(time.Second)
-		l.BeginRun(now, "browse", Run{Route: "browse", Deadline: ends}, Limits{})
+		deadline := now.Add(time.Second)
+		budget.BeginRun(now, "browse", Run{Route: "browse", Deadline: deadline}, Limits{})
 		for step := range 4 {
 			if random.Float64() < 0.3 && !ordering {
-				ordering = l.BeginRun(now, "order", Run{Route: "order", Deadline: ends}, Limits{})
+				ordering = budget.BeginRun(now, "order", Run{Route: "order", Deadline: deadline}, Limits{})
 			} else if random.Float64() < 0.3 && ordering {
-				l.EndRun(now, "order")
+				budget.EndRun(now, "order")
 				ordering = false
 			}
 			now = now.Add(5 * time.Millisecond)
 			if step == 2 {
-				l.CountRequest(now, "checks", now.Add(200*time.Millisecond))
+				budget.CountRequest(now, "checks", now.Add(200*time.Millisecond))
 			}
 		}
-		l.EndRun(now, "browse")
+		budget.EndRun(now, "browse")
 		now = now.Add(5 * time.Millisecond)
 	}
-	browse, order := l.calling.route("browse").perRun("checks"), l.calling.route("order").perRun("checks")
-	assert.Assert(t, browse > 0.9 && order < 0.1, "%.2f and %.2f calls a run", browse, order)
+	browse, order := budget.callStats.route("browse").callsPerRun("checks"), budget.callStats.route("order").callsPerRun("checks")
+	assert.Assert(t, browse > 0.9 && order < 0.1, "%.2f and %.2f calls per run", browse, order)
 }
 
-// A caller's own request is wanted for longer than any run at the target, so it
-// can't be a call and isn't charged, though all runs are repeats.
-func TestCallersRequestsAreNotTakenForCalls(t *testing.T) {
-	l := NewFleetBudget(0)
+// A caller's own request has a later deadline than any run at the target. It can't
+// be a call and must not count as a retry, even if all runs are retries.
+func TestCallerRequestsAreNotAttributedToRuns(t *testing.T) {
+	budget := NewFleetBudget(0)
 	now := time.Unix(1_000_000, 0)
-	terms := Limits{Slack: 10}
-	assert.Assert(t, l.BeginRun(now, "1", Run{Route: "r", RetryProbability: 1, Deadline: now.Add(time.Second)}, terms))
-	assert.Equal(t, l.CountRequest(now, "s", now.Add(2*time.Second)), 0.0)
-	assert.Equal(t, l.CountRequest(now, "s", now.Add(200*time.Millisecond)), 1.0)
-	assert.Equal(t, l.CountRequest(now, "s", time.Time{}), 1.0)
+	limits := Limits{Slack: 10}
+	assert.Assert(t, budget.BeginRun(now, "1", Run{Route: "r", RetryProbability: 1, Deadline: now.Add(time.Second)}, limits))
+	assert.Equal(t, budget.CountRequest(now, "s", now.Add(2*time.Second)), 0.0)
+	assert.Equal(t, budget.CountRequest(now, "s", now.Add(200*time.Millisecond)), 1.0)
+	assert.Equal(t, budget.CountRequest(now, "s", time.Time{}), 1.0)
 }
--- a/internal/routing/retry/window.go
+++ b/internal/routing/retry/window.go
@@ -2,59 +2,60 @@
 
 import "time"
 
-// windowSlots is how many slots a window is counted in.
-const windowSlots = 10
+// windowBuckets is the number of buckets in a window.
+const windowBuckets = 10
 
-// DefaultSpan is the length of a window where the settings name none.
+// DefaultWindow is the window length if the settings give none.
 const DefaultWindow = 10 * time.Second
 
-// window counts what came in one span of time. Unlike a token bucket it forgets
-// nothing within the span, so a bound on it holds for each span of that length
-// wherever it begins.
+// window is a sliding-window counter of the requests and retries of a service.
+// Unlike a token bucket it keeps all counts within the window, so a limit holds for
+// every interval of that length, wherever the interval begins.
 type window struct {
-	span time.Duration
-	// origin is the first moment seen. Slots are counted from it, since the time
-	// of day may be stepped, and a step would forget what was used up.
-	origin time.Time
-	slots  [windowSlots + 1]slot
+	length time.Duration
+	// origin is the first time seen. Buckets are numbered relative to it, since the
+	// wall clock may be stepped, and a step would discard the recorded usage.
+	origin  time.Time
+	buckets [windowBuckets + 1]bucket
 }
 
-// slot counts what came in one part of the window; slots are numbered from 1.
-type slot struct {
-	at       int64
+// bucket holds the counts of one part of the window. Buckets are numbered from 1.
+type bucket struct {
+	index    int64
 	requests int
-	// repeats are further attempts, and the parts of calls that repeated runs made.
-	repeats float64
+	// retries counts retries, and calls with the probability that a retried run
+	// made them.
+	retries float64
 }
 
-func newWindow(span time.Duration) *window { return &window{span: span} }
+func newWindow(length time.Duration) *window { return &window{length: length} }
 
-func (w *window) slot(now time.Time) *slot {
+func (w *window) bucket(now time.Time) *bucket {
 	if w.origin.IsZero() {
 		w.origin = now
 	}
-	at := int64(now.Sub(w.origin)*windowSlots/w.span) + 1
-	s := &w.slots[at%int64(len(w.slots))]
-	if s.at != at {
-		*s = slot{at: at}
+	index := int64(now.Sub(w.origin)*windowBuckets/w.length) + 1
+	b := &w.buckets[index%int64(len(w.buckets))]
+	if b.index != index {
+		*b = bucket{index: index}
 	}
-	return s
+	return b
 }
 
-// sum adds up the window. Requests of the running slot may be in the window and
-// those of the oldest may not, so the oldest count only against the budget.
-func (w *window) sum(now time.Time) slot {
-	current := w.slot(now)
-	var total slot
-	for i := range w.slots {
-		s := &w.slots[i]
-		age := current.at - s.at
-		if s.at == 0 || age > windowSlots {
+// sum returns the total of the window. The oldest bucket is only partly within the
+// window, so its retries count against the budget, but its requests don't add to it.
+func (w *window) sum(now time.Time) bucket {
+	current := w.bucket(now)
+	var total bucket
+	for i := range w.buckets {
+		b := &w.buckets[i]
+		age := current.index - b.index
+		if b.index == 0 || age > windowBuckets {
 			continue
 		}
-		total.repeats += s.repeats
-		if age < windowSlots {
-			total.requests += s.requests
+		total.retries += b.retries
+		if age < windowBuckets {
+			total.requests += b.requests
 		}
 	}
 	return total
--- a/internal/routing/roundrobin/roundrobin.go
+++ b/internal/routing/roundrobin/roundrobin.go
@@ -1,5 +1,5 @@
-// Package roundrobin picks candidates in turn, whatever their cost. It is a
-// baseline.
+// Package roundrobin picks candidates in turn regardless of cost. It serves as a
+// baseline for comparisons.
 package roundrobin
 
 import (
@@ -10,11 +10,11 @@
 )
 
 // Policy implements routing.Policy.
-type Policy struct{ turn atomic.Uint64 }
+type Policy struct{ next atomic.Uint64 }
 
 var _ routing.Policy = (*Policy)(nil)
 
 // Pick implements routing.Policy.
 func (p *Policy) Pick(group routing.Group, _ *rand.Rand) int {
-	return int((p.turn.Add(1) - 1) % uint64(group.Len()))
+	return int((p.next.Add(1) - 1) % uint64(group.Len()))
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing decides which target serves a request, what an attempt's
-// outcome promises, and whether another attempt may be made. The package is
-// pure; random numbers come from a source that is handed in.
+// Package routing decides which target serves a request, classifies the outcomes
+// of attempts, and decides whether another attempt may be made. The package is
+// pure; callers pass in the source of random numbers.
 package routing
 
 import (
@@ -8,13 +8,13 @@
 	"tamarackquay/internal/membership"
 )
 
-// Place is where a node stands.
+// Locality is the location of a node.
 type Locality struct {
 	FailureDomain string
 	Region        string
 }
 
-// Distance orders targets by the cost of reaching them.
+// Distance is the distance of a target, a measure of the cost of reaching it.
 type Distance uint8
 
 // The distances, nearest first.
@@ -24,7 +24,7 @@
 	OtherRegion
 )
 
-// DistanceTo returns how far the VM is.
+// DistanceTo returns the distance to the VM.
 func (p Locality) DistanceTo(vm membership.VM) Distance {
 	switch {
 	case vm.FailureDomain == p.FailureDomain:
@@ -35,7 +35,7 @@
 	return OtherRegion
 }
 
-// Within reports whether a route's spill lets a request go that far.
+// Within reports whether a route's spill permits targets at the distance.
 func Within(spill contract.Spill, distance Distance) bool {
 	switch spill {
 	case contract.SpillDomain:
@@ -46,22 +46,22 @@
 	return true
 }
 
-// Outcome is what is known of an attempt once it is over.
+// Outcome is the result of a finished attempt as far as it is known.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered: the target answered, whatever the status.
+	// Answered: the target sent a response, with any status.
 	Answered Outcome = iota + 1
-	// DidNotRun: it is proven that the target ran nothing.
+	// DidNotRun: the target is proven not to have run the request.
 	DidNotRun
 	// Unknown: the target may have run the request.
 	Unknown
 )
 
 // MayRetry reports whether another attempt may follow. A request that isn't
-// idempotent and may have run is never sent again: the second run would bill
-// a town twice.
+// idempotent and may have run is never sent again: running it a second time could,
+// for example, bill a town twice.
 func MayRetry(outcome Outcome, idempotent bool) bool {
 	switch outcome {
 	case DidNotRun:
@@ -72,10 +72,11 @@
 	return false
 }
 
-// NextDistance is the least distance for the attempt after one that went as
-// far as last. A target that had no room was already the less loaded of two,
-// so its neighbours are likely full too and the request goes further; one that
-// failed says nothing about its neighbours.
+// NextDistance returns the minimum distance for the next attempt, after an attempt
+// at distance last. A target that was full had already been the less loaded of two
+// candidates, so other targets at that distance are probably full too and the next
+// attempt goes further away. A target that failed gives no such information about
+// the others.
 func NextDistance(last Distance, full bool) Distance {
 	if full && last < OtherRegion {
 		return last + 1
--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -5,163 +5,165 @@
 	"time"
 )
 
-// Weights and times of the cost of a target.
+// Parameters of the cost of a target.
 const (
-	// latencyFloor is what faster targets are taken for; differences below it
+	// latencyFloor is the minimum latency used for the cost; differences below it
 	// are noise.
 	latencyFloor = time.Millisecond
-	// latencyGain is the weight of one new observation.
-	latencyGain = 0.2
-	// latencyHalfLife is the time without an observation in which the
-	// remembered latency halves, so that a target that was slow is tried again.
+	// latencySmoothing is the weight of a new observation in the moving average.
+	latencySmoothing = 0.2
+	// latencyHalfLife is the time without an observation in which the average
+	// latency decays by half, so that a target that was slow is tried again.
 	latencyHalfLife = 5 * time.Second
-	// reportWeight is what a running request counts that the target reports
-	// and this node did not send. A report lags and may lie, so it weighs less
-	// than what the node counts itself.
+	// reportWeight is the weight of a running request that the target reports and
+	// that this node did not send. A load report lags and may be wrong, so it
+	// weighs less than the requests that the node counts itself.
 	reportWeight = 0.25
-	// reportAge is when a report counts nothing any more.
-	reportAge = 2 * time.Second
+	// maxReportAge is the age from which a load report is ignored.
+	maxReportAge = 2 * time.Second
 	// minWeight is the weight of a target that has just started.
 	minWeight = 0.1
 )
 
-// Ejection: after so many failures in a row a target is left alone for a time
-// that doubles with each further ejection.
+// Outlier ejection: after ejectAfter consecutive failures a target gets no requests
+// for baseEjectionTime, which doubles with each further ejection up to
+// maxEjectionTime.
 const (
-	ejectAfter   = 5
-	ejectFor     = time.Second
-	ejectForMost = 30 * time.Second
+	ejectAfter       = 5
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 30 * time.Second
 )
 
-// avoidFor is how long a target is left alone that said it takes no new work;
-// by then membership has the news.
-const avoidFor = 2 * time.Second
+// backOffTime is the time without requests for a target that has reported that it
+// accepts no new work. After that time membership has received its new state.
+const backOffTime = 2 * time.Second
 
-// Stats is what a node itself saw of one target. It is not safe for concurrent
-// use.
+// Stats holds a node's own observations of one target. It is not safe for
+// concurrent use.
 type Stats struct {
-	// Since is when the target was first seen; zero for targets that were there
-	// when the node started, which are taken for warm.
+	// FirstSeen is the time at which the target was first seen. It is zero for
+	// targets that existed when the node started, which are treated as warm.
 	FirstSeen time.Time
 
-	open int
-	// silent counts the attempts that no answer has come to, and silentSince
-	// adds up when they began, in seconds since base.
-	silent      int
-	silentSince float64
-	base        time.Time
-
-	latency    time.Duration
-	observed   time.Time
-	reported   float64
-	reportedAt time.Time
-	failures   int
-	ejections  int
-	outUntil   time.Time
+	inFlight int
+	// pending is the number of attempts without a response yet. pendingStartSum is
+	// the sum of their start times, in seconds since pendingBase.
+	pending         int
+	pendingStartSum float64
+	pendingBase     time.Time
+
+	latency          time.Duration
+	observedAt       time.Time
+	reported         float64
+	reportedAt       time.Time
+	failures         int
+	ejections        int
+	unavailableUntil time.Time
 }
 
-// Begin counts an attempt that is sent at now.
+// Begin records that an attempt is sent at now.
 func (s *Stats) Begin(now time.Time) {
-	s.open++
-	if s.silent == 0 {
-		s.base = now
-		s.silentSince = 0
+	s.inFlight++
+	if s.pending == 0 {
+		s.pendingBase = now
+		s.pendingStartSum = 0
 	}
-	s.silent++
-	s.silentSince += now.Sub(s.base).Seconds()
+	s.pending++
+	s.pendingStartSum += now.Sub(s.pendingBase).Seconds()
 }
 
-// Heard takes the attempt that began at start as answered or failed; its body
-// may still be on the way.
+// EndWait records that the attempt started at start no longer waits for a
+// response, because its response has started or it has failed. The response body
+// may still be in transit.
 func (s *Stats) EndWait(start time.Time) {
-	s.silent--
-	s.silentSince -= start.Sub(s.base).Seconds()
+	s.pending--
+	s.pendingStartSum -= start.Sub(s.pendingBase).Seconds()
 }
 
-// End counts an attempt that is over, its body included.
-func (s *Stats) End() { s.open-- }
+// End records that an attempt has ended, including its response body.
+func (s *Stats) End() { s.inFlight-- }
 
-// Open is the number of attempts that run.
-func (s *Stats) InFlight() int { return s.open }
+// InFlight returns the number of attempts that have not ended.
+func (s *Stats) InFlight() int { return s.inFlight }
 
-// Answered takes an answer that came after the latency.
+// RecordResponse records a response that arrived after the latency.
 func (s *Stats) RecordResponse(now time.Time, latency time.Duration) {
 	s.failures = 0
 	s.ejections = 0
-	s.observe(now, latency)
+	s.observeLatency(now, latency)
 }
 
-func (s *Stats) observe(now time.Time, latency time.Duration) {
-	if s.observed.IsZero() {
+func (s *Stats) observeLatency(now time.Time, latency time.Duration) {
+	if s.observedAt.IsZero() {
 		s.latency = latency
 	} else {
-		s.latency += time.Duration(latencyGain * float64(latency-s.latency))
+		s.latency += time.Duration(latencySmoothing * float64(latency-s.latency))
 	}
-	s.observed = now
+	s.observedAt = now
 }
 
-// Failed takes an attempt that failed. It reports whether the target is due
-// for ejection; Eject then puts it out, if the cap allows.
+// RecordFailure records a failed attempt and reports whether the target is due for
+// ejection. The caller then calls Eject if MayEject allows it.
 func (s *Stats) RecordFailure() bool {
 	s.failures++
 	return s.failures >= ejectAfter
 }
 
-// Eject leaves the target alone for a while.
+// Eject excludes the target for the ejection time.
 func (s *Stats) Eject(now time.Time) {
-	away := min(ejectFor<<min(s.ejections, 10), ejectForMost)
+	duration := min(baseEjectionTime<<min(s.ejections, 10), maxEjectionTime)
 	s.ejections++
-	// One more failure after the return ejects it again.
+	// A single failure after the ejection time ejects the target again.
 	s.failures = ejectAfter - 1
-	s.outUntil = now.Add(away)
+	s.unavailableUntil = now.Add(duration)
 }
 
-// Avoid leaves a target alone that said it takes no new work.
-func (s *Stats) BackOff(now time.Time) { s.outUntil = now.Add(avoidFor) }
+// BackOff excludes a target that has reported that it accepts no new work.
+func (s *Stats) BackOff(now time.Time) { s.unavailableUntil = now.Add(backOffTime) }
 
-// Available reports whether the target is neither ejected nor avoided.
-func (s *Stats) Available(now time.Time) bool { return !now.Before(s.outUntil) }
+// Available reports whether the target is neither ejected nor backed off from.
+func (s *Stats) Available(now time.Time) bool { return !now.Before(s.unavailableUntil) }
 
-// Reported takes the load that the target told: requests that it runs.
+// RecordLoad records the number of running requests that the target reports.
 func (s *Stats) RecordLoad(now time.Time, running int) {
 	s.reported = float64(running)
 	s.reportedAt = now
 }
 
-// Cost is what one more request costs at the target: the requests ahead of it
-// times the time that each takes. slowStart is how long a cold target takes to
-// reach full weight.
+// Cost returns the cost of one more request at the target: the weighted
+// number of requests there, this one included, times the expected latency, divided
+// by the target's weight. slowStart is the time in which a cold target reaches full weight.
 func (s *Stats) Cost(now time.Time, slowStart time.Duration) float64 {
-	ahead := float64(s.open) + 1 + reportWeight*s.reportedLoad(now)
-	return ahead * s.expected(now) / s.weight(now, slowStart)
+	ahead := float64(s.inFlight) + 1 + reportWeight*s.otherLoad(now)
+	return ahead * s.expectedLatency(now) / s.weight(now, slowStart)
 }
 
-func (s *Stats) reportedLoad(now time.Time) float64 {
+func (s *Stats) otherLoad(now time.Time) float64 {
 	age := now.Sub(s.reportedAt)
-	if age >= reportAge {
+	if age >= maxReportAge {
 		return 0
 	}
-	others := max(0, s.reported-float64(s.open))
-	return others * float64(reportAge-age) / float64(reportAge)
+	others := max(0, s.reported-float64(s.inFlight))
+	return others * float64(maxReportAge-age) / float64(maxReportAge)
 }
 
-// expected is how long an answer is expected to take: what was observed or, if
-// that is longer, how long the unanswered attempts have waited on average. A
-// target that hangs answers nothing, so its observed latency never rises; by
-// its open attempts alone it would look cheaper than the others until it held
-// many times as many, each of which waits until its deadline.
-func (s *Stats) expected(now time.Time) float64 {
-	if s.silent == 0 {
-		return s.agedLatency(now)
+// expectedLatency returns the observed latency or, if that is longer, the average
+// time for which the pending attempts have waited. A hanging target sends no
+// responses, so its observed latency never rises. If only its attempts in flight
+// counted, it would look cheaper than the others until it held many times as many,
+// each of which would wait until its deadline.
+func (s *Stats) expectedLatency(now time.Time) float64 {
+	if s.pending == 0 {
+		return s.decayedLatency(now)
 	}
-	waited := now.Sub(s.base).Seconds() - s.silentSince/float64(s.silent)
-	return max(s.agedLatency(now), waited*float64(time.Second))
+	waited := now.Sub(s.pendingBase).Seconds() - s.pendingStartSum/float64(s.pending)
+	return max(s.decayedLatency(now), waited*float64(time.Second))
 }
 
-func (s *Stats) agedLatency(now time.Time) float64 {
+func (s *Stats) decayedLatency(now time.Time) float64 {
 	latency := float64(s.latency)
-	if silence := now.Sub(s.observed); silence > time.Second {
-		latency *= math.Exp2(-float64(silence) / float64(latencyHalfLife))
+	if idle := now.Sub(s.observedAt); idle > time.Second {
+		latency *= math.Exp2(-float64(idle) / float64(latencyHalfLife))
 	}
 	return max(latency, float64(latencyFloor))
 }
@@ -174,7 +176,7 @@
 	return min(1, max(minWeight, age))
 }
 
-// MayEject reports whether one more of a service's targets may be put out when
-// so many already are. At least half stay: failures of most targets at once say
-// more about the node or the service than about any one target.
-func MayEject(total, out int) bool { return (out+1)*2 <= total }
+// MayEject reports whether one more of a service's targets may be ejected. At least
+// half of the targets stay in use: when most targets fail at once, the cause is
+// probably the node or the service and not a single target.
+func MayEject(total, ejected int) bool { return (ejected+1)*2 <= total }
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -9,15 +9,15 @@
 	"tamarackquay/internal/membership"
 )
 
-// SubsetSize is how many targets of one service and distance a node sends to.
-// It bounds the connections of a node and the work of a choice; each target is
-// still reached by many nodes.
+// SubsetSize is the number of targets per service and distance to which a node
+// sends requests. It limits the connections of a node and the work of picking a
+// target. Each target is still in the subsets of many nodes.
 const SubsetSize = 8
 
-// Groups sorts a service's targets by distance and cuts each group down to the
-// node's subset. Rendezvous hashing over the node and the target keeps the
-// subset when other targets come and go: a lost target is replaced by one, and
-// no other connection is given up.
+// Groups groups a service's targets by distance and reduces each group to the
+// node's subset. Rendezvous hashing of node and target keeps the subset stable
+// when targets join or leave: a departed target is replaced by one other, and no
+// other connection is closed.
 func Groups(from Locality, self string, targets []membership.VM) [OtherRegion + 1][]membership.VM {
 	var groups [OtherRegion + 1][]membership.VM
 	for _, vm := range targets {
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -7,7 +7,7 @@
 declare -A file expression
 off() { file[$1]=$2 expression[$1]=$3; }
 
-off callers-who-came-back internal/routing/clientretry/clientretry.go 's/<= sameEnd {/< 0 {/'
+off callers-who-came-back internal/routing/clientretry/clientretry.go 's/<= deadlineTolerance {/< 0 {/'
 off rank-of-the-overdue internal/proxy/rank.go 's/^\trankLate         = 1/\trankLate = 0/'
 off overdue-refused-at-once internal/proxy/flight.go 's/if f.full > 0 \&\& f.overdue(now) {/if false {/'
 off bytes-outside internal/placement/placement.go 's/^const DefaultHalfBytes = 20e3/const DefaultHalfBytes = 0/'
