--- a/internal/snapshot/build.go
+++ b/internal/snapshot/build.go
@@ -11,17 +11,18 @@
 	"tamarackquay/internal/contract"
 )
 
-// Parts holds content-addressed blobs: groups and resources.
+// Parts holds encoded groups and resources by the hash of their content.
 type Parts map[Hash][]byte
 
-// Publication is what an operator publishes: the parts first, the manifest
-// last.
+// Publication holds the manifest and the parts of a version. The parts are
+// published first and the manifest last.
 type Publication struct {
 	Manifest *Manifest
 	Parts    Parts
 }
 
-// Origin is who published a version, when, and from which content.
+// Origin holds a version's number, the root of its parent version, and by whom and
+// when it was published.
 type Origin struct {
 	Version     Version
 	Parent      Hash
@@ -29,7 +30,7 @@
 	PublishedAt time.Time
 }
 
-// Build encodes a checked set as a publication.
+// Build encodes a set that has passed contract.Check as a publication.
 func Build(set *contract.Set, origin Origin) (*Publication, error) {
 	parts := Parts{}
 	groups := make([]Group, GroupCount)
@@ -39,11 +40,11 @@
 			return errors.Wrapf(err, "encode %s %s", kind, name)
 		}
 		if len(raw) > MaxPartBytes {
-			return errors.Errorf("%s %s takes %d bytes, the platform holds %d in a value", kind, name, len(raw), MaxPartBytes)
+			return errors.Errorf("%s %s has %d bytes, the platform accepts at most %d per value", kind, name, len(raw), MaxPartBytes)
 		}
 		hash := HashOf(raw)
 		parts[hash] = raw
-		group := &groups[groupOf(kind, name)]
+		group := &groups[groupIndex(kind, name)]
 		group.Parts = append(group.Parts, PartRef{Kind: kind, Name: name, Hash: hash})
 		return nil
 	}
@@ -86,6 +87,6 @@
 	return hashes, nil
 }
 
-func groupOf(kind Kind, name string) int {
+func groupIndex(kind Kind, name string) int {
 	return int(xxhash.Sum64String(string(kind)+"/"+name) % GroupCount)
 }
--- a/internal/snapshot/fuzz_test.go
+++ b/internal/snapshot/fuzz_test.go
@@ -8,9 +8,9 @@
 	"tamarackquay/internal/contract"
 )
 
-// Whatever bytes the platform or a peer gives for a manifest and a part, reading
-// and assembling them ends in a snapshot or in findings. A crash here would stop
-// every node that reads the same version.
+// Decoding and assembling any bytes that the platform or a peer returns for a
+// manifest and a part must give either a snapshot or findings. A panic here would
+// crash every node that reads the same version.
 func FuzzVersion(f *testing.F) {
 	set := &contract.Set{Services: []contract.Service{{Name: "tally", Slots: 1, MaxConnections: 1, Committed: map[string]int{"a": 1}}}}
 	publication, err := Build(set, Origin{Version: Version{Epoch: 1, Revision: 1}})
@@ -25,12 +25,12 @@
 	f.Fuzz(func(t *testing.T, rawManifest, rawPart []byte) {
 		decoded, err := DecodeManifest(rawManifest)
 		if err != nil {
-			// The part still stands as the only group of a manifest.
+			// The part is still tested as the only group of a valid manifest.
 			groups := []Hash{HashOf(rawPart)}
 			decoded = &Manifest{Version: Version{Epoch: 1, Revision: 1}, Root: RootOf(groups), Groups: groups}
 		}
-		held := Parts{HashOf(rawPart): rawPart}
-		assembled, found := Assemble(decoded, held)
+		available := Parts{HashOf(rawPart): rawPart}
+		assembled, found := Assemble(decoded, available)
 		assert.Check(t, (assembled == nil) == (len(found) > 0))
 	})
 }
--- a/internal/snapshot/manifest.go
+++ b/internal/snapshot/manifest.go
@@ -7,17 +7,17 @@
 	"github.com/pkg/errors"
 )
 
-// Sizes that every part keeps to.
+// Limits of parts and manifests.
 const (
-	// MaxPartBytes is what the platform's service holds in one value.
+	// MaxPartBytes is the platform's maximum size of a value.
 	MaxPartBytes = 1 << 20
-	// GroupCount is the number of groups a manifest names. A change of one
-	// contract alters its part, one group and the manifest; with 64 groups
-	// and a few thousand resources all three stay at a few kilobytes.
+	// GroupCount is the number of groups in a manifest. A change of one contract
+	// changes its part, one group and the manifest; with 64 groups and a few
+	// thousand resources each of the three has only a few kilobytes.
 	GroupCount = 64
 )
 
-// Kind tells what a part holds.
+// Kind is the kind of resource in a part.
 type Kind string
 
 // The kinds of parts.
@@ -26,44 +26,44 @@
 	KindContract Kind = "contract"
 )
 
-// PartRef names one part from its group.
+// PartRef refers to a part by its hash.
 type PartRef struct {
 	Kind Kind   `cbor:"k"`
 	Name string `cbor:"n"`
 	Hash Hash   `cbor:"h"`
 }
 
-// Group lists the parts whose names hash to one position of the manifest,
+// Group lists the parts whose kind and name hash to one index in the manifest,
 // sorted by kind and name.
 type Group struct {
 	Parts []PartRef `cbor:"p"`
 }
 
-// Manifest is the atomic point of a version: whoever holds it knows the exact
-// content of the whole configuration.
+// Manifest identifies the exact content of a complete configuration. Publishing it
+// makes a version visible atomically.
 type Manifest struct {
 	Version Version `cbor:"v"`
-	// Parent is the root of the version that the operator started from. Two
-	// operators who publish at once name the same parent, so the lost update
-	// is found.
+	// Parent is the root of the version on which the operator's changes are based.
+	// If two operators publish at the same time, both versions have the same
+	// parent, so the lost update is detected.
 	Parent Hash `cbor:"p"`
-	// Root is the digest over all groups: equal roots mean equal content.
+	// Root is the digest of all group hashes. Equal roots mean equal content.
 	Root   Hash   `cbor:"h"`
 	Groups []Hash `cbor:"g"`
-	// PublishedBy and PublishedAt go into the audit trail; no decision
-	// depends on them.
+	// PublishedBy and PublishedAt are informational and written to the audit
+	// trail.
 	PublishedBy string    `cbor:"by"`
 	PublishedAt time.Time `cbor:"at"`
 }
 
-// Errors of a manifest that can't be used.
+// Errors for manifests and parts that can't be used.
 var (
-	ErrBadManifest = errors.New("bad manifest")
-	ErrBadPart     = errors.New("bad part")
+	ErrBadManifest = errors.New("invalid manifest")
+	ErrBadPart     = errors.New("invalid part")
 )
 
-// Limits for decoding what arrives from outside: they bound the memory that a
-// broken or hostile message can take before it is refused.
+// Decoding limits for external data. They limit the memory that a malformed or
+// malicious message can take before it is rejected.
 const (
 	maxArrayElements = 1 << 16
 	maxMapPairs      = 1 << 10
@@ -98,7 +98,7 @@
 	return mode
 }
 
-// RootOf is the digest over the groups of a manifest.
+// RootOf returns the digest of a manifest's group hashes.
 func RootOf(groups []Hash) Hash {
 	content := make([]byte, 0, len(groups)*len(Hash{}))
 	for _, group := range groups {
@@ -107,34 +107,35 @@
 	return HashOf(content)
 }
 
-// Encode renders the manifest as published.
+// Encode encodes the manifest for publication.
 func (m *Manifest) Encode() ([]byte, error) {
 	raw, err := encoder.Marshal(m)
 	return raw, errors.Wrap(err, "encode manifest")
 }
 
-// DecodeManifest reads a manifest and checks that it is consistent in itself.
+// DecodeManifest decodes a manifest and checks its internal consistency.
 func DecodeManifest(raw []byte) (*Manifest, error) {
 	if len(raw) > MaxPartBytes {
-		return nil, errors.Wrapf(ErrBadManifest, "%d bytes", len(raw))
+		return nil, errors.Wrapf(ErrBadManifest, "too large: %d bytes", len(raw))
 	}
 	var m Manifest
 	if err := decoder.Unmarshal(raw, &m); err != nil {
 		return nil, errors.Wrap(ErrBadManifest, err.Error())
 	}
 	if m.Version.IsZero() {
-		return nil, errors.Wrap(ErrBadManifest, "no version")
+		return nil, errors.Wrap(ErrBadManifest, "version is missing")
 	}
 	if len(m.Groups) > GroupCount {
-		return nil, errors.Wrapf(ErrBadManifest, "%d groups", len(m.Groups))
+		return nil, errors.Wrapf(ErrBadManifest, "too many groups: %d", len(m.Groups))
 	}
 	if RootOf(m.Groups) != m.Root {
-		return nil, errors.Wrap(ErrBadManifest, "root is not the digest of the groups")
+		return nil, errors.Wrap(ErrBadManifest, "root does not match the groups")
 	}
 	return &m, nil
 }
 
-// DecodeGroup reads a group whose content has been checked against its hash.
+// DecodeGroup decodes a group. The caller must have checked the content against its
+// hash.
 func DecodeGroup(raw []byte) (*Group, error) {
 	var g Group
 	if err := decoder.Unmarshal(raw, &g); err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -7,79 +7,79 @@
 	"tamarackquay/internal/finding"
 )
 
-// Codes of findings that concern a version's parts.
+// Finding codes for a version's parts.
 const (
 	CodePartMissing finding.Code = "part-missing"
 	CodePartCorrupt finding.Code = "part-corrupt"
 )
 
-// Snapshot is one whole, checked version. It is immutable: a request keeps the
-// snapshot it started with, and any number of goroutines may read it.
+// Snapshot is a complete, validated version. It is immutable: a request uses the same
+// snapshot from start to end, and any number of goroutines may read it.
 type Snapshot struct {
-	manifest   *Manifest
-	parts      Parts
-	set        contract.Set
-	services   map[string]*contract.Service
-	contracts  map[string]*contract.Contract
-	tokenOwner map[string]*contract.Contract
+	manifest        *Manifest
+	parts           Parts
+	set             contract.Set
+	services        map[string]*contract.Service
+	contracts       map[string]*contract.Contract
+	contractByToken map[string]*contract.Contract
 }
 
-// Select picks from the pools the parts that the manifest names, and lists
-// those that no pool has, in two rounds: first the groups, then, once all
-// groups are there, the parts that they name. Parts that the manifest does not
-// name are left behind.
-func Select(manifest *Manifest, pools ...Parts) (held Parts, missing []Hash, err error) {
-	s := &selection{pools: pools, held: Parts{}, lacking: map[Hash]bool{}}
+// Select returns the parts of the manifest that are in the pools, and the hashes of
+// those that are in none. It takes two rounds: as long as groups are missing, only
+// the groups are listed as missing, then the parts to which the groups refer. Parts
+// that do not belong to the manifest are not selected.
+func Select(manifest *Manifest, pools ...Parts) (selected Parts, missing []Hash, err error) {
+	s := &selection{pools: pools, selected: Parts{}, missingSet: map[Hash]bool{}}
 	for _, hash := range manifest.Groups {
-		s.want(hash)
+		s.require(hash)
 	}
 	if len(s.missing) > 0 {
-		return s.held, s.missing, nil
+		return s.selected, s.missing, nil
 	}
 	for _, hash := range manifest.Groups {
-		group, err := DecodeGroup(s.held[hash])
+		group, err := DecodeGroup(s.selected[hash])
 		if err != nil {
 			return nil, nil, err
 		}
 		for _, ref := range group.Parts {
-			s.want(ref.Hash)
+			s.require(ref.Hash)
 		}
 	}
-	return s.held, s.missing, nil
+	return s.selected, s.missing, nil
 }
 
-// selection is the work of one Select.
+// selection holds the state of one Select call.
 type selection struct {
-	pools   []Parts
-	held    Parts
-	lacking map[Hash]bool
-	missing []Hash
+	pools      []Parts
+	selected   Parts
+	missingSet map[Hash]bool
+	missing    []Hash
 }
 
-func (s *selection) want(hash Hash) {
+func (s *selection) require(hash Hash) {
 	for _, pool := range s.pools {
 		if raw, ok := pool[hash]; ok {
-			s.held[hash] = raw
+			s.selected[hash] = raw
 			return
 		}
 	}
-	if !s.lacking[hash] {
-		s.lacking[hash] = true
+	if !s.missingSet[hash] {
+		s.missingSet[hash] = true
 		s.missing = append(s.missing, hash)
 	}
 }
 
-// Assemble checks a whole version and returns its snapshot, or every finding
-// that makes it bad. Nothing of a bad version is kept.
-func Assemble(manifest *Manifest, held Parts) (*Snapshot, finding.List) {
+// Assemble validates a complete version and returns its snapshot, or all findings
+// that make it invalid. No part of an invalid version is used.
+func Assemble(manifest *Manifest, available Parts) (*Snapshot, finding.List) {
 	s := &Snapshot{
-		manifest:   manifest,
-		parts:      Parts{},
-		services:   map[string]*contract.Service{},
-		contracts:  map[string]*contract.Contract{},
-		tokenOwner: map[string]*contract.Contract{},
+		manifest:        manifest,
+		parts:           Parts{},
+		services:        map[string]*contract.Service{},
+		contracts:       map[string]*contract.Contract{},
+		contractByToken: map[string]*contract.Contract{},
 	}
-	if found := s.load(held); len(found) > 0 {
+	if found := s.load(available); len(found) > 0 {
 		return nil, found
 	}
 	if found := contract.Check(&s.set, contract.NoLocations{}); len(found) > 0 {
@@ -89,11 +89,11 @@
 	return s, nil
 }
 
-// load takes over the parts that the manifest names and decodes them.
-func (s *Snapshot) load(held Parts) finding.List {
+// load verifies and decodes the parts of the manifest.
+func (s *Snapshot) load(available Parts) finding.List {
 	var found finding.List
 	for _, hash := range s.manifest.Groups {
-		raw, err := s.take(hash, held)
+		raw, err := s.verifiedPart(hash, available)
 		if err != nil {
 			found = append(found, partFinding("group "+hash.Short(), err))
 			continue
@@ -104,7 +104,7 @@
 			continue
 		}
 		for _, ref := range group.Parts {
-			if err := s.loadPart(ref, held); err != nil {
+			if err := s.loadPart(ref, available); err != nil {
 				found = append(found, partFinding(string(ref.Kind)+" "+ref.Name, err))
 			}
 		}
@@ -113,14 +113,14 @@
 	return found
 }
 
-// errPartMissing tells a part that is not there yet from one that is broken.
+// errPartMissing marks parts that have not been received, in contrast to corrupt ones.
 var errPartMissing = errors.New("part is missing")
 
-// take returns a part's content after checking it against its hash. The check
-// is made here as well as on receipt, so that no path into a snapshot exists
-// that skips it.
-func (s *Snapshot) take(hash Hash, held Parts) ([]byte, error) {
-	raw, ok := held[hash]
+// verifiedPart returns a part's content after checking it against its hash, and adds it
+// to the snapshot. Received parts are checked on receipt too; checking here as well
+// ensures that no unchecked part can get into a snapshot.
+func (s *Snapshot) verifiedPart(hash Hash, available Parts) ([]byte, error) {
+	raw, ok := available[hash]
 	if !ok {
 		return nil, errPartMissing
 	}
@@ -131,8 +131,8 @@
 	return raw, nil
 }
 
-func (s *Snapshot) loadPart(ref PartRef, held Parts) error {
-	raw, err := s.take(ref.Hash, held)
+func (s *Snapshot) loadPart(ref PartRef, available Parts) error {
+	raw, err := s.verifiedPart(ref.Hash, available)
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 			return errors.Wrap(ErrBadPart, err.Error())
 		}
 		if service.Name != ref.Name {
-			return errors.Wrapf(ErrBadPart, "holds %q", service.Name)
+			return errors.Wrapf(ErrBadPart, "contains service %q", service.Name)
 		}
 		s.set.Services = append(s.set.Services, service)
 	case KindContract:
@@ -152,7 +152,7 @@
 			return errors.Wrap(ErrBadPart, err.Error())
 		}
 		if c.Customer != ref.Name {
-			return errors.Wrapf(ErrBadPart, "holds %q", c.Customer)
+			return errors.Wrapf(ErrBadPart, "contains the contract of %q", c.Customer)
 		}
 		s.set.Contracts = append(s.set.Contracts, c)
 	default:
@@ -178,25 +178,25 @@
 		c := &s.set.Contracts[i]
 		s.contracts[c.Customer] = c
 		for _, hash := range c.TokenHashes {
-			s.tokenOwner[hash] = c
+			s.contractByToken[hash] = c
 		}
 	}
 }
 
-// Version is the snapshot's place in the order of versions.
+// Version returns the snapshot's version.
 func (s *Snapshot) Version() Version { return s.manifest.Version }
 
-// Root names the snapshot's content.
+// Root returns the digest of the snapshot's content.
 func (s *Snapshot) Root() Hash { return s.manifest.Root }
 
 // Manifest returns the manifest; callers must not change it.
 func (s *Snapshot) Manifest() *Manifest { return s.manifest }
 
-// Parts returns the version's parts for handing on to peers; callers must not
+// Parts returns the version's parts, for sending them to peers; callers must not
 // change them.
 func (s *Snapshot) Parts() Parts { return s.parts }
 
-// Set returns the whole configuration; callers must not change it.
+// Set returns the complete configuration; callers must not change it.
 func (s *Snapshot) Set() *contract.Set { return &s.set }
 
 // Service returns the named service, or nil.
@@ -205,8 +205,8 @@
 // Contract returns the customer's contract, or nil.
 func (s *Snapshot) Contract(customer string) *contract.Contract { return s.contracts[customer] }
 
-// ContractByToken returns the contract whose customer owns the caller token, or
-// nil. Only digests are compared, so the time taken tells nothing of tokens.
+// ContractByToken returns the contract of the customer that owns the caller token, or
+// nil. Only digests are compared, so the time taken reveals nothing about tokens.
 func (s *Snapshot) ContractByToken(token string) *contract.Contract {
-	return s.tokenOwner[contract.HashToken(token)]
+	return s.contractByToken[contract.HashToken(token)]
 }
