--- a/internal/changes/changes.go
+++ b/internal/changes/changes.go
@@ -1,6 +1,6 @@
-// Package changes tells what differs between two contract sets in the terms of
-// contracts: what each customer gains or loses, rather than which lines of which
-// file were edited. The package is pure.
+// Package changes computes the differences between two contract sets in terms of
+// services and contracts. It shows the effect of a change on each customer rather
+// than the edited lines of files. The package is pure.
 package changes
 
 import (
@@ -13,7 +13,7 @@
 	"tamarackquay/internal/contract"
 )
 
-// Kind says what happened to the subject of a change.
+// Kind is the kind of a change.
 type Kind string
 
 // The kinds of changes.
@@ -23,19 +23,19 @@
 	Changed Kind = "changed"
 )
 
-// Change is one difference. A change that concerns a service for all customers
-// names no customer.
+// Change is one difference. Customer is empty for changes of a service that concern
+// all customers.
 type Change struct {
 	Customer string `json:"customer,omitempty"`
 	Service  string `json:"service,omitempty"`
 	Kind     Kind   `json:"kind"`
-	// Subject is what changed, in words: "route tallies: deadline".
+	// Subject describes the changed item, for example "route tallies: deadline".
 	Subject string `json:"subject"`
 	Before  string `json:"before,omitempty"`
 	After   string `json:"after,omitempty"`
 }
 
-// String renders the change without its customer.
+// String formats the change without its customer.
 func (c Change) String() string {
 	switch c.Kind {
 	case Added:
@@ -46,23 +46,23 @@
 	return fmt.Sprintf("~ %s: %s -> %s", c.Subject, c.Before, c.After)
 }
 
-// Between returns all changes from before to after, services first, then
-// customers by name.
+// Diff returns all changes from before to after: first those of services, then
+// those of customers by name.
 func Diff(before, after *contract.Set) []Change {
 	c := &comparison{before: before, after: after}
 	c.services()
 	c.customers()
-	slices.SortStableFunc(c.found, func(a, b Change) int { return cmp.Compare(a.Customer, b.Customer) })
-	return c.found
+	slices.SortStableFunc(c.changes, func(a, b Change) int { return cmp.Compare(a.Customer, b.Customer) })
+	return c.changes
 }
 
 type comparison struct {
 	before, after *contract.Set
-	found         []Change
+	changes       []Change
 }
 
-// add notes a change if the two texts differ; an empty text stands for a
-// subject that is not there.
+// add appends a change if the two texts differ. An empty text means that the subject
+// does not exist on that side.
 func (c *comparison) add(change Change) {
 	switch {
 	case change.Before == change.After:
@@ -74,14 +74,14 @@
 	default:
 		change.Kind = Changed
 	}
-	c.found = append(c.found, change)
+	c.changes = append(c.changes, change)
 }
 
 func (c *comparison) services() {
-	for _, name := range names(c.before.Services, c.after.Services, func(s *contract.Service) string { return s.Name }) {
+	for _, name := range nameUnion(c.before.Services, c.after.Services, func(s *contract.Service) string { return s.Name }) {
 		before, after := c.before.Service(name), c.after.Service(name)
 		subject := "service " + name
-		c.add(Change{Service: name, Subject: subject, Before: capacity(before), After: capacity(after)})
+		c.add(Change{Service: name, Subject: subject, Before: capacitySummary(before), After: capacitySummary(after)})
 		if before == nil || after == nil {
 			continue
 		}
@@ -89,8 +89,8 @@
 	}
 }
 
-// capacity renders what is committed of a service.
-func capacity(s *contract.Service) string {
+// capacitySummary formats the committed capacity of a service.
+func capacitySummary(s *contract.Service) string {
 	if s == nil {
 		return ""
 	}
@@ -99,9 +99,9 @@
 }
 
 func (c *comparison) customers() {
-	for _, name := range names(c.before.Contracts, c.after.Contracts, func(k *contract.Contract) string { return k.Customer }) {
-		before, after := contractOf(c.before, name), contractOf(c.after, name)
-		c.add(Change{Customer: name, Subject: "contract", Before: presence(before), After: presence(after)})
+	for _, name := range nameUnion(c.before.Contracts, c.after.Contracts, func(k *contract.Contract) string { return k.Customer }) {
+		before, after := findContract(c.before, name), findContract(c.after, name)
+		c.add(Change{Customer: name, Subject: "contract", Before: contractSummary(before), After: contractSummary(after)})
 		c.tokens(name, before, after)
 		c.fields(Change{Customer: name, Subject: "contract"},
 			fieldsOf(before, "customer", "token_hashes", "grant", "route"),
@@ -111,7 +111,7 @@
 	}
 }
 
-func contractOf(set *contract.Set, customer string) *contract.Contract {
+func findContract(set *contract.Set, customer string) *contract.Contract {
 	for i := range set.Contracts {
 		if set.Contracts[i].Customer == customer {
 			return &set.Contracts[i]
@@ -120,15 +120,16 @@
 	return nil
 }
 
-func presence(k *contract.Contract) string {
+func contractSummary(k *contract.Contract) string {
 	if k == nil {
 		return ""
 	}
 	return fmt.Sprintf("%d grants, %d routes", len(k.Grants), len(k.Routes))
 }
 
-// shownDigits is how much of a token's hash is shown: enough to find its line.
-const shownDigits = 12
+// shownHashDigits is the number of digits of a token's hash that are shown, enough to
+// find its line in the file.
+const shownHashDigits = 12
 
 func (c *comparison) tokens(customer string, before, after *contract.Contract) {
 	hashes := func(k *contract.Contract) []string {
@@ -137,11 +138,11 @@
 		}
 		return k.TokenHashes
 	}
-	show := func(hash string, there bool) string {
-		if !there {
+	show := func(hash string, present bool) string {
+		if !present {
 			return ""
 		}
-		return hash[:min(shownDigits, len(hash))]
+		return hash[:min(shownHashDigits, len(hash))]
 	}
 	all := append(slices.Clone(hashes(before)), hashes(after)...)
 	slices.Sort(all)
@@ -159,60 +160,60 @@
 		}
 		return k.Grants
 	}
-	for _, service := range names(grants(before), grants(after), func(g *contract.Grant) string { return g.Service }) {
-		was := granted{c.before.Service(service), grantOf(before, service)}
-		now := granted{c.after.Service(service), grantOf(after, service)}
+	for _, service := range nameUnion(grants(before), grants(after), func(g *contract.Grant) string { return g.Service }) {
+		previous := serviceGrant{c.before.Service(service), findGrant(before, service)}
+		current := serviceGrant{c.after.Service(service), findGrant(after, service)}
 		base := Change{Customer: customer, Service: service}
-		c.part(base, "share of "+service, was.share(), now.share())
-		c.part(base, "limit of "+service, was.limit(), now.limit())
+		c.addText(base, "share of "+service, previous.share(), current.share())
+		c.addText(base, "limit of "+service, previous.limit(), current.limit())
 		base.Subject = "grant of " + service
-		c.fields(base, fieldsOf(was.grant, "service", "share", "limit"), fieldsOf(now.grant, "service", "share", "limit"))
+		c.fields(base, fieldsOf(previous.grant, "service", "share", "limit"), fieldsOf(current.grant, "service", "share", "limit"))
 	}
 }
 
-func (c *comparison) part(base Change, subject, before, after string) {
+func (c *comparison) addText(base Change, subject, before, after string) {
 	base.Subject, base.Before, base.After = subject, before, after
 	c.add(base)
 }
 
-func grantOf(k *contract.Contract, service string) *contract.Grant {
+func findGrant(k *contract.Contract, service string) *contract.Grant {
 	if k == nil {
 		return nil
 	}
 	return k.Grant(service)
 }
 
-// granted is a grant with the service that it is a part of: its slots change
-// with either.
-type granted struct {
+// serviceGrant is a grant with its service. The granted number of slots depends on
+// both.
+type serviceGrant struct {
 	service *contract.Service
 	grant   *contract.Grant
 }
 
-func (g granted) share() string {
+func (g serviceGrant) share() string {
 	if g.grant == nil {
 		return ""
 	}
-	return g.render(g.grant.Share)
+	return g.format(g.grant.Share)
 }
 
-func (g granted) limit() string {
+func (g serviceGrant) limit() string {
 	if g.grant == nil {
 		return ""
 	}
-	return g.render(g.grant.Limit)
+	return g.format(g.grant.Limit)
 }
 
-func (g granted) render(part float64) string {
-	text := strconv.FormatFloat(part, 'g', -1, 64)
+func (g serviceGrant) format(fraction float64) string {
+	text := strconv.FormatFloat(fraction, 'g', -1, 64)
 	if g.service == nil {
 		return text
 	}
 	total := g.service.CommittedUpstreams() * g.service.Slots
-	return fmt.Sprintf("%s (%s of %d slots)", text, FormatSlots(part*float64(total)), total)
+	return fmt.Sprintf("%s (%s of %d slots)", text, FormatSlots(fraction*float64(total)), total)
 }
 
-// Slots renders a number of slots, with at most two decimals.
+// FormatSlots formats a number of slots with at most two decimals.
 func FormatSlots(n float64) string {
 	text := strconv.FormatFloat(n, 'f', 2, 64)
 	return strings.TrimSuffix(strings.TrimRight(text, "0"), ".")
@@ -225,19 +226,19 @@
 		}
 		return k.Routes
 	}
-	for _, name := range names(routes(before), routes(after), func(r *contract.Route) string { return r.Name }) {
-		was, now := routeOf(routes(before), name), routeOf(routes(after), name)
+	for _, name := range nameUnion(routes(before), routes(after), func(r *contract.Route) string { return r.Name }) {
+		previous, current := findRoute(routes(before), name), findRoute(routes(after), name)
 		base := Change{Customer: customer, Subject: "route " + name}
-		if was == nil || now == nil {
-			base.Before, base.After = summary(was), summary(now)
+		if previous == nil || current == nil {
+			base.Before, base.After = routeSummary(previous), routeSummary(current)
 			c.add(base)
 			continue
 		}
-		c.fields(base, fieldsOf(was, "name"), fieldsOf(now, "name"))
+		c.fields(base, fieldsOf(previous, "name"), fieldsOf(current, "name"))
 	}
 }
 
-func routeOf(routes []contract.Route, name string) *contract.Route {
+func findRoute(routes []contract.Route, name string) *contract.Route {
 	for i := range routes {
 		if routes[i].Name == name {
 			return &routes[i]
@@ -246,15 +247,16 @@
 	return nil
 }
 
-func summary(r *contract.Route) string {
+func routeSummary(r *contract.Route) string {
 	if r == nil {
 		return ""
 	}
 	return fmt.Sprintf("%s to service %s, class %s", r.Prefix, r.Service, r.Class)
 }
 
-// names returns the names on either side, sorted, each once.
-func names[T any](before, after []T, name func(*T) string) []string {
+// nameUnion returns the names that occur on either side, sorted and without
+// duplicates.
+func nameUnion[T any](before, after []T, name func(*T) string) []string {
 	var all []string
 	for _, side := range [][]T{before, after} {
 		for i := range side {
--- a/internal/changes/changes_test.go
+++ b/internal/changes/changes_test.go
@@ -20,13 +20,13 @@
 	}
 }
 
-// A key is added to contracts, and the diff does not show it: an operator
-// approves a change that they never saw. Every field of each resource must
-// therefore show up when it alone is changed.
-func TestEveryFieldShowsUp(t *testing.T) {
+// If a key is added to contracts and the diff does not show it, operators approve a
+// change that they have not seen. Changing any single field of a resource must
+// therefore give a change.
+func TestEveryFieldIsCompared(t *testing.T) {
 	for _, resource := range []struct {
 		desc string
-		of   func(*contract.Set) reflect.Value
+		get  func(*contract.Set) reflect.Value
 	}{
 		{"service", func(s *contract.Set) reflect.Value { return reflect.ValueOf(&s.Services[0]).Elem() }},
 		{"contract", func(s *contract.Set) reflect.Value { return reflect.ValueOf(&s.Contracts[0]).Elem() }},
@@ -34,19 +34,19 @@
 		{"route", func(s *contract.Set) reflect.Value { return reflect.ValueOf(&s.Contracts[0].Routes[0]).Elem() }},
 	} {
 		before := example()
-		for i := range resource.of(&before).NumField() {
+		for i := range resource.get(&before).NumField() {
 			after := example()
-			value := resource.of(&after)
+			value := resource.get(&after)
 			name := value.Type().Field(i).Name
 			t.Run(resource.desc+"/"+name, func(t *testing.T) {
-				alter(t, value.Field(i))
+				mutate(t, value.Field(i))
 				assert.Check(t, len(Diff(&before, &after)) > 0)
 			})
 		}
 	}
 }
 
-func alter(t *testing.T, value reflect.Value) {
+func mutate(t *testing.T, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
 	case reflect.String:
@@ -59,21 +59,21 @@
 		value.SetBool(!value.Bool())
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		alter(t, value.Elem())
+		mutate(t, value.Elem())
 	case reflect.Map:
 		value.SetMapIndex(reflect.ValueOf("b"), reflect.ValueOf(1))
 	case reflect.Slice:
 		element := reflect.New(value.Type().Elem()).Elem()
 		if element.Kind() == reflect.String {
-			alter(t, element)
+			mutate(t, element)
 		}
 		value.Set(reflect.Append(value, element))
 	default:
-		t.Fatalf("no way to alter a %s", value.Kind())
+		t.Fatalf("no mutation for kind %s", value.Kind())
 	}
 }
 
-func TestNothingChangedIsNothing(t *testing.T) {
+func TestEqualSetsHaveNoChanges(t *testing.T) {
 	before, after := example(), example()
 	assert.Equal(t, len(Diff(&before, &after)), 0)
 }
--- a/internal/changes/fields.go
+++ b/internal/changes/fields.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// fieldsOf renders each field of a resource under its TOML key, except those
-// named. Reading the struct rather than a list of fields means that a key added
-// to contracts later can't be left out of a diff.
+// fieldsOf formats each field of a resource by its TOML key, except the given ones.
+// It uses reflection rather than a list of fields, so that a key added to contracts
+// later can't be missing from a diff.
 func fieldsOf[T any](resource *T, except ...string) map[string]string {
 	fields := map[string]string{}
 	if resource == nil {
@@ -28,11 +28,11 @@
 	return fields
 }
 
-// flatten renders maps key by key, so that one failure domain's commitment
-// changes alone.
+// flatten formats maps key by key, so that a change of one failure domain's
+// commitment is shown separately.
 func flatten(fields map[string]string, key string, value reflect.Value) {
 	if value.Kind() != reflect.Map {
-		fields[key] = render(value)
+		fields[key] = formatValue(value)
 		return
 	}
 	for _, entry := range value.MapKeys() {
@@ -40,10 +40,10 @@
 	}
 }
 
-// absent stands for a key that the file leaves out.
-const absent = "(default)"
+// defaultText is shown for a key that is missing in the file.
+const defaultText = "(default)"
 
-func render(value reflect.Value) string {
+func formatValue(value reflect.Value) string {
 	if text, ok := value.Interface().(encoding.TextMarshaler); ok {
 		if raw, err := text.MarshalText(); err == nil {
 			return string(raw)
@@ -51,24 +51,24 @@
 	}
 	if value.Kind() == reflect.Pointer {
 		if value.IsNil() {
-			return absent
+			return defaultText
 		}
-		return render(value.Elem())
+		return formatValue(value.Elem())
 	}
 	if value.Kind() == reflect.Slice {
 		parts := make([]string, value.Len())
 		for i := range parts {
-			parts[i] = render(value.Index(i))
+			parts[i] = formatValue(value.Index(i))
 		}
 		return strings.Join(parts, ", ")
 	}
 	if value.Kind() == reflect.String && value.String() == "" {
-		return absent
+		return defaultText
 	}
 	return fmt.Sprint(value.Interface())
 }
 
-// fields notes each key that differs.
+// fields adds a change for each key that differs.
 func (c *comparison) fields(base Change, before, after map[string]string) {
 	keys := slices.Collect(maps.Keys(before))
 	for key := range after {
