--- a/internal/port/audit.go
+++ b/internal/port/audit.go
@@ -6,7 +6,7 @@
 	"tamarackquay/internal/finding"
 )
 
-// AuditKind names what happened.
+// AuditKind is the kind of an audit event.
 type AuditKind string
 
 // The kinds of audit events.
@@ -22,12 +22,12 @@
 	AuditPlatformDown  AuditKind = "platform-down"
 	AuditPlatformUp    AuditKind = "platform-up"
 	AuditPaused        AuditKind = "paused"
-	// AuditRequestsRefused sums up the refusals of requests of one reason over
-	// a minute: Subject is the reason, Detail the count.
+	// AuditRequestsRefused summarizes the refused requests of one reason over a
+	// minute: Subject is the reason, Detail the count.
 	AuditRequestsRefused AuditKind = "requests-refused"
 )
 
-// AuditEvent is one entry of the trail.
+// AuditEvent is one entry of the audit trail.
 type AuditEvent struct {
 	Time time.Time `json:"time"`
 	Kind AuditKind `json:"kind"`
@@ -36,10 +36,10 @@
 	// version.
 	Version string `json:"version,omitempty"`
 	Root    string `json:"root,omitempty"`
-	// PublishedBy and PublishedAt come from the version's manifest.
+	// PublishedBy and PublishedAt are copied from the version's manifest.
 	PublishedBy string     `json:"published_by,omitempty"`
 	PublishedAt *time.Time `json:"published_at,omitempty"`
-	// From is the peer that the news came from, "platform", or empty.
+	// From is the id of the peer that sent the update, "platform", or empty.
 	From     string       `json:"from,omitempty"`
 	Subject  string       `json:"subject,omitempty"`
 	Detail   string       `json:"detail,omitempty"`
--- a/internal/port/member.go
+++ b/internal/port/member.go
@@ -2,8 +2,8 @@
 
 import "tamarackquay/internal/membership"
 
-// The types of membership messages. They have a range of their own, so that
-// other messages can be added without a clash of numbers.
+// The types of membership messages. They have a separate number range, so that other
+// message types can be added without conflicts.
 const (
 	TypeGossip MessageType = iota + 32
 	TypeProbeRequest
@@ -12,33 +12,33 @@
 	TypeSyncReply
 )
 
-// Gossip passes membership news on. It wants no answer.
+// Gossip forwards membership updates. It has no reply.
 type Gossip struct {
 	From    string              `cbor:"f"`
 	Records []membership.Record `cbor:"r,omitempty"`
 	Marks   []membership.Mark   `cbor:"m,omitempty"`
 }
 
-// ProbeRequest asks the receiver to try a VM that gave the sender no answer.
+// ProbeRequest asks the receiver to probe a VM that did not answer the sender.
 type ProbeRequest struct {
 	From string        `cbor:"f"`
 	VM   membership.VM `cbor:"v"`
 }
 
-// ProbeReply says whether the VM answered.
+// ProbeReply reports whether the VM answered the probe.
 type ProbeReply struct {
 	From    string `cbor:"f"`
 	Reached bool   `cbor:"r"`
 }
 
-// SyncRequest asks for the records of all failure domains whose digest differs
-// at the receiver.
+// SyncRequest requests the records of all failure domains whose digest differs from
+// that of the receiver.
 type SyncRequest struct {
 	From   string                    `cbor:"f"`
 	Digest []membership.DomainDigest `cbor:"d"`
 }
 
-// SyncReply carries the receiver's records of those domains.
+// SyncReply contains the receiver's records of those failure domains.
 type SyncReply struct {
 	From    string              `cbor:"f"`
 	Domains []string            `cbor:"d"`
@@ -62,19 +62,20 @@
 
 // The metrics of membership.
 const (
-	// MetricSuspectMembers is the number of members that gave no answer.
+	// MetricSuspectMembers is the number of members that did not answer a probe.
 	MetricSuspectMembers Metric = "tamarack_members_suspect"
-	// MetricUnheardMembers is the number of VMs that only the list names.
+	// MetricUnconfirmedMembers is the number of VMs that are known only from the
+	// platform's VM list.
 	MetricUnconfirmedMembers Metric = "tamarack_members_unheard"
 	// MetricUnreachableDomains is the number of failure domains without
 	// contact.
 	MetricUnreachableDomains Metric = "tamarack_domains_unreachable"
-	// MetricIsolated is 1 while the node hears no peer at all.
+	// MetricIsolated is 1 while the node has no contact with any peer.
 	MetricIsolated Metric = "tamarack_node_isolated"
-	// MetricPauses counts how often the process found that it was paused.
+	// MetricPauses counts the detected pauses of the process.
 	MetricPauses Metric = "tamarack_pauses_total"
 )
 
-// AuditDomainChanged is the kind of event for a failure domain that was lost or
-// found again, and for the node's own isolation.
+// AuditDomainChanged is the kind of event for a failure domain that became
+// unreachable or reachable again, and for the isolation of the node itself.
 const AuditDomainChanged AuditKind = "domain-changed"
--- a/internal/port/message.go
+++ b/internal/port/message.go
@@ -10,7 +10,7 @@
 // Message is a control message between nodes.
 type Message interface{ MessageType() MessageType }
 
-// MessageType tells messages apart on the wire. Numbers are never reused.
+// MessageType identifies the type of a message on the wire. Numbers are never reused.
 type MessageType uint8
 
 // The types of messages.
@@ -24,46 +24,46 @@
 	TypeBusy
 )
 
-// Heartbeat carries what the sender knows of itself and of a few others.
+// Heartbeat contains the sender's own record and those of a few other VMs.
 type Heartbeat struct {
 	From    membership.Record   `cbor:"f"`
 	Others  []membership.Record `cbor:"o,omitempty"`
 	Version snapshot.Version    `cbor:"v"`
 	Root    snapshot.Hash       `cbor:"h"`
-	// Contacts go to VMs of the sender's own failure domain only.
+	// Contacts is sent only to VMs of the sender's own failure domain.
 	Contacts []membership.DomainContact `cbor:"c,omitempty"`
 }
 
-// Announce says that the sender holds a version.
+// Announce announces that the sender has a version.
 type Announce struct {
 	From    string           `cbor:"f"`
 	Version snapshot.Version `cbor:"v"`
 	Root    snapshot.Hash    `cbor:"h"`
 }
 
-// ManifestRequest asks for the manifest in force at the receiver.
+// ManifestRequest requests the manifest that is applied at the receiver.
 type ManifestRequest struct {
 	From string `cbor:"f"`
 }
 
-// ManifestReply carries a manifest as published; empty when there is none.
+// ManifestReply contains a manifest as published. It is empty if there is none.
 type ManifestReply struct {
 	Manifest []byte `cbor:"m"`
 }
 
-// PartsRequest asks for parts by hash.
+// PartsRequest requests parts by hash.
 type PartsRequest struct {
 	From   string          `cbor:"f"`
 	Hashes []snapshot.Hash `cbor:"h"`
 }
 
-// PartsReply carries those of the parts that the receiver holds and that fit
-// one message; the asker asks again for the rest.
+// PartsReply contains those of the requested parts that the receiver has and that fit
+// into one message. The requester sends another request for the rest.
 type PartsReply struct {
 	Parts [][]byte `cbor:"p"`
 }
 
-// Busy answers a request that the receiver has no room for now.
+// Busy is the reply to a request that the receiver has no capacity for at present.
 type Busy struct {
 	RetryAfter time.Duration `cbor:"r"`
 }
--- a/internal/port/metric.go
+++ b/internal/port/metric.go
@@ -1,79 +1,82 @@
 package port
 
-// Metric names a counter or gauge as operators see it. docs/METRICS.md gives
-// each one's unit and the alert that it serves.
+// Metric is the exported name of a counter, gauge or histogram. docs/METRICS.md
+// documents the unit of each metric and the alert that uses it.
 type Metric string
 
 // The metrics.
 const (
-	// MetricAnswered counts requests answered by a target, by route.
+	// MetricAnswered counts requests that a target has answered, by route.
 	MetricAnswered Metric = "tamarack_requests_answered_total"
 	// MetricRefused counts refusals to callers, by reason.
 	MetricRefused Metric = "tamarack_requests_refused_total"
 	// MetricUnknown counts requests whose outcome is unknown, by route.
 	MetricUnknown Metric = "tamarack_requests_unknown_total"
-	// MetricRetries counts attempts after a request's first, by route.
+	// MetricRetries counts attempts after the first one of a request, by route.
 	MetricRetries Metric = "tamarack_requests_retried_total"
-	// MetricRequestTime is the time from a request to its answer, in seconds,
+	// MetricRequestTime is the time from a request to its response, in seconds,
 	// by route.
 	MetricRequestTime Metric = "tamarack_request_seconds"
-	// MetricLinesDropped counts log lines that were left out, by kind.
+	// MetricLinesDropped counts dropped log lines, by kind.
 	MetricLinesDropped Metric = "tamarack_log_lines_dropped_total"
-	// MetricViewAge is how old the view of the mesh is, in seconds; negative
-	// while there is none.
+	// MetricViewAge is the age of the view of the mesh, in seconds; negative while
+	// there is no view.
 	MetricViewAge Metric = "tamarack_view_age_seconds"
-	// MetricTargetsUsable is the number of targets that take work, by service.
+	// MetricTargetsUsable is the number of targets that accept requests, by service.
 	MetricTargetsUsable Metric = "tamarack_targets_usable"
-	// MetricConfigVersion is the version of the configuration in force, as
-	// operators number it.
+	// MetricConfigVersion is the version of the applied configuration, in the
+	// operators' numbering.
 	MetricConfigVersion Metric = "tamarack_config_version"
-	// MetricLinkWait is how long a large answer waits for the VM's link, in
-	// seconds.
+	// MetricLinkWait is the time for which a large response waits for the VM's
+	// network link, in seconds.
 	MetricLinkWait Metric = "tamarack_link_wait_seconds"
 	// MetricTargetCrashes counts the crashes of the VM's own target.
 	MetricTargetCrashes Metric = "tamarack_target_crashes_total"
-	// MetricQuarantined is the number of requests that are kept from targets.
+	// MetricQuarantined is the number of quarantined requests, which are not sent to
+	// targets.
 	MetricQuarantined Metric = "tamarack_requests_quarantined"
-	// MetricCrashesDropped counts crashes that were told faster than a node takes them.
+	// MetricCrashesDropped counts crash notices dropped because they arrived faster
+	// than the node accepts them.
 	MetricCrashesDropped Metric = "tamarack_crash_notices_dropped_total"
-	// MetricOverdue counts callers' connections ended for keeping the node waiting.
+	// MetricSlowConnections counts callers' connections closed because the caller was
+	// too slow.
 	MetricSlowConnections Metric = "tamarack_connections_overdue_total"
 	// MetricResumed counts bodies continued from another target, by route.
 	MetricResumed Metric = "tamarack_bodies_resumed_total"
-	// MetricApplied counts versions put in force.
+	// MetricApplied counts applied versions.
 	MetricApplied Metric = "tamarack_versions_applied_total"
-	// MetricVersionRefused counts versions that failed their checks.
+	// MetricVersionRefused counts versions that failed validation.
 	MetricVersionRefused Metric = "tamarack_versions_refused_total"
-	// MetricConflicts counts versions that operators published over each
-	// other.
+	// MetricConflicts counts conflicting versions, which operators published over
+	// each other.
 	MetricConflicts Metric = "tamarack_versions_conflicting_total"
-	// MetricPullsPutOff counts pulls of peers that were told to come back.
+	// MetricPullsDeferred counts pulls by peers that were asked to retry later.
 	MetricPullsDeferred Metric = "tamarack_pulls_put_off_total"
 	// MetricPlatformReads counts reads of the platform, by result.
 	MetricPlatformReads Metric = "tamarack_platform_reads_total"
 	// MetricControlBytes counts the bytes of control connections that this node
-	// opened, TLS included, by direction; the other end doesn't count them.
+	// opened, TLS included, by direction. The accepting node doesn't count them.
 	MetricControlBytes Metric = "tamarack_control_bytes_total"
-	// MetricLiveMembers is the number of members that take new work.
+	// MetricLiveMembers is the number of members that accept new work.
 	MetricLiveMembers Metric = "tamarack_members_live"
 	// MetricSlotsRunning is the number of the local target's slots in use.
 	MetricSlotsRunning Metric = "tamarack_slots_running"
-	// MetricQueueWaiting is the number of requests that wait for a slot.
+	// MetricQueueWaiting is the number of requests waiting for a slot.
 	MetricQueueWaiting Metric = "tamarack_queue_waiting"
 	// MetricRequestsOpen is the number of requests that the node serves as
 	// entry or owner.
 	MetricRequestsOpen Metric = "tamarack_requests_open"
-	// MetricVersionEpoch and MetricVersionRevision are the version in force.
+	// MetricVersionEpoch and MetricVersionRevision are the applied version.
 	MetricVersionEpoch    Metric = "tamarack_version_epoch"
 	MetricVersionRevision Metric = "tamarack_version_revision"
-	// MetricReportedRevision is the highest revision that anyone reported.
+	// MetricReportedRevision is the highest revision reported by any node.
 	MetricReportedRevision Metric = "tamarack_version_reported_revision"
-	// MetricConfigurationAge is the time since the version in force was
-	// published, in seconds.
+	// MetricConfigurationAge is the time since the applied version was published,
+	// in seconds.
 	MetricConfigurationAge Metric = "tamarack_configuration_age_seconds"
-	// MetricPlatformReachable is 1 while the node's own reads of the platform
-	// are answered.
+	// MetricPlatformReachable is 1 while the platform responds to the node's own
+	// reads.
 	MetricPlatformReachable Metric = "tamarack_platform_reachable"
-	// MetricHealth is 1 for the state that the node is in, by state.
+	// MetricHealth is 1 for the node's current health state, by state.
 	MetricHealth Metric = "tamarack_health"
 )
--- a/internal/port/refusal.go
+++ b/internal/port/refusal.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Reason says why a request was refused, in a form that callers may act on.
+// Reason is the machine-readable reason for which a request was refused.
 type Reason string
 
-// The reasons. Every refusal promises that the request did not run.
+// The reasons. A refusal with any reason guarantees that the request did not run.
 const (
 	ReasonNotReady      Reason = "not-ready"
 	ReasonStopping      Reason = "stopping"
@@ -32,48 +32,49 @@
 
 	ReasonHeaderTooLarge Reason = "header-too-large"
 	ReasonHeaderTooSlow  Reason = "header-too-slow"
-	// ReasonShedWithRoom: the target turned the request away although it says
-	// that it has free slots.
+	// ReasonShedWithRoom: the target shed the request although it reports free
+	// slots.
 	ReasonShedWithRoom Reason = "shed-with-room"
-	// ReasonQuarantined: targets crashed under the same request before.
+	// ReasonQuarantined: targets have crashed while running the same request.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonMisdirected: the target that has the address now is another one
-	// than the request was meant for, and said so.
+	// ReasonMisdirected: the address now belongs to a different target than the
+	// request was sent to, and that target has reported the mismatch.
 	ReasonMisdirected Reason = "misdirected"
 )
 
-// Refusal is the error of a request that is proven not to have run.
+// Refusal is the error for a request that is proven not to have run.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter tells the caller when to come back; zero means that coming
-	// back unchanged won't help.
+	// RetryAfter is the delay after which the caller may retry; zero means that
+	// retrying the same request won't succeed.
 	RetryAfter time.Duration
-	// Detail is one sentence for a person.
+	// Detail is a human-readable explanation.
 	Detail string
 }
 
-// Error renders the refusal for logs.
+// Error implements error.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("refused, did not run: %s: %s", r.Reason, r.Detail)
 }
 
-// Refuse makes a refusal that a later try may pass.
+// Refuse returns a refusal with a formatted detail. The request may be retried after
+// retryAfter, unless that is zero.
 func Refuse(reason Reason, retryAfter time.Duration, format string, args ...any) *Refusal {
 	return &Refusal{Reason: reason, RetryAfter: retryAfter, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Unknown is the error of a request that may have run: bytes reached the
-// target, and no whole answer came back.
+// UnknownOutcome is the error for a request that may have run: bytes reached the
+// target, and no complete response was received.
 type UnknownOutcome struct {
-	// Stage says how far the request had come.
+	// Stage is the stage at which the request failed.
 	Stage string
 	Cause error
 }
 
-// Error renders the outcome for logs.
+// Error implements error.
 func (u *UnknownOutcome) Error() string {
 	return fmt.Sprintf("outcome unknown at %s: %v", u.Stage, u.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (u *UnknownOutcome) Unwrap() error { return u.Cause }
--- a/internal/port/sender.go
+++ b/internal/port/sender.go
@@ -1,35 +1,36 @@
 package port
 
-// Sent is a message that says which VM it comes from. Adapters compare that with
-// what the other side has proven to be.
+// SenderMessage is a message that contains the id of the VM that sent it. Adapters
+// compare it with the authenticated identity of the peer.
 type SenderMessage interface {
-	// Sender is the id of the VM, or empty when the message does not say.
+	// Sender returns the id of the sending VM, or an empty string if the message
+	// contains none.
 	Sender() string
 }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m Heartbeat) Sender() string { return m.From.VM.ID }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m Announce) Sender() string { return m.From }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m ManifestRequest) Sender() string { return m.From }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m PartsRequest) Sender() string { return m.From }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m Gossip) Sender() string { return m.From }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m ProbeRequest) Sender() string { return m.From }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m ProbeReply) Sender() string { return m.From }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m SyncRequest) Sender() string { return m.From }
 
-// Sender implements Sent.
+// Sender implements SenderMessage.
 func (m SyncReply) Sender() string { return m.From }
