--- a/internal/logfield/logfield.go
+++ b/internal/logfield/logfield.go
@@ -1,51 +1,53 @@
-// Package logfield names the fields of structured log lines of the mesh's nodes.
-// docs/LOGS.md lists them; tamarackctl trace reads them.
+// Package logfield defines the field names of the structured log lines that the
+// mesh's nodes write. docs/LOGS.md documents them, and tamarackctl trace reads them.
 package logfield
 
 // Name is the name of a field.
 type Name = string
 
-// Fields of lines on a request.
+// Fields of log lines about a request.
 const (
-	// Request is the id that the caller gave its attempt.
+	// Request is the caller's id of its attempt.
 	Request Name = "request"
-	// Fingerprint is the same for requests that are the same to a target.
+	// Fingerprint is equal for requests that are identical for a target.
 	Fingerprint Name = "fingerprint"
 	Route       Name = "route"
 	Service     Name = "service"
-	// Target is the id of the target that an attempt was offered to.
+	// Target is the id of the target to which an attempt was sent.
 	Target Name = "target"
-	// Attempt is this node's own id of one offer to a target.
+	// Attempt is this node's id of one attempt at a target.
 	Attempt Name = "attempt"
-	// Outcome is how a decision ended, one of the Endings.
+	// Outcome is the result of a decision, one of the values of Ending.
 	Outcome Name = "outcome"
 	Reason  Name = "reason"
-	// Offers counts attempts, Arrivals those that may have reached a target.
+	// Offers is the number of attempts, and Arrivals the number of those that may
+	// have reached a target.
 	Offers   Name = "offers"
 	Arrivals Name = "arrivals"
 	Status   Name = "status"
-	// After is the time since the request was read, in milliseconds.
+	// Elapsed is the time since the request was read, in milliseconds.
 	Elapsed Name = "after_ms"
-	// RetryAfter is when the caller was asked to come back, in milliseconds.
+	// RetryAfter is the delay until the caller may retry, in milliseconds.
 	RetryAfter Name = "retry_after_ms"
-	// Left is what was left of the time for the request, in milliseconds.
+	// TimeLeft is the time left until the request's deadline, in milliseconds.
 	TimeLeft Name = "left_ms"
-	// CallerGone says that the caller had closed its connection.
+	// CallerDisconnected is true if the caller had closed its connection.
 	CallerDisconnected Name = "caller_gone"
-	// Version is the configuration's version that the request was routed by.
+	// Version is the configuration version with which the request was routed.
 	Version Name = "version"
-	// ViewAge is how old the node's view of the mesh was, in milliseconds.
+	// ViewAge is the age of the node's view of the mesh, in milliseconds.
 	ViewAge Name = "view_age_ms"
 	// TargetRevision is the platform's revision of the target's entry.
 	TargetRevision Name = "target_revision"
-	// Believed is the load by which the target was chosen, running/waiting/slots,
-	// and BelievedAge how old that word was, in milliseconds.
+	// ReportedLoad is the last reported load with which the target was chosen, as
+	// running/waiting/slots, and ReportedLoadAge the age of that report, in
+	// milliseconds.
 	ReportedLoad    Name = "believed_load"
 	ReportedLoadAge Name = "believed_age_ms"
 	Error           Name = "error"
 )
 
-// Fields of lines on what a process believes.
+// Fields of log lines about the state of a process.
 const (
 	Neighbour Name = "neighbour"
 	Revision  Name = "revision"
@@ -54,24 +56,24 @@
 	State     Name = "state"
 	Lines     Name = "lines"
 	Kind      Name = "kind"
-	// HadAnswered says that a target had answered requests since its start, Running how
-	// many different requests it ran.
+	// HadAnswered is true if a target had answered requests since its start. Running
+	// is the number of different requests that it ran.
 	HadAnswered Name = "had_answered"
 	Running     Name = "running"
-	// Late is how long an update was in transit, in milliseconds: since the platform
-	// answered, or beyond the quickest message of the feed.
+	// UpdateDelay is the transit time of an update, in milliseconds: since the
+	// platform's response, or in excess of the fastest message of the feed.
 	UpdateDelay Name = "late_ms"
-	// UsableFor is for how long a target stays in use whose entry is gone, in
-	// milliseconds.
+	// UsableFor is the time for which a target stays in use after its entry was
+	// removed, in milliseconds.
 	UsableFor Name = "usable_ms"
 )
 
-// Ending is how a decision on a request ended.
+// Ending is the result of a decision about a request.
 type Ending = string
 
-// The outcomes.
+// The values of Ending.
 const (
-	// Served: a target's answer was passed on.
+	// Served: a target's response was passed on to the caller.
 	Served Ending = "served"
 	// Refused: the request did not run.
 	Refused Ending = "refused"
@@ -79,6 +81,6 @@
 	Unknown Ending = "unknown"
 	// Failed: an attempt failed or was refused; another may follow.
 	Failed Ending = "failed"
-	// BrokenOff: the answer broke while it was passed on.
+	// Interrupted: the response was interrupted while it was passed on.
 	Interrupted Ending = "broken-off"
 )
