--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -21,7 +21,7 @@
 	reportWeight = 0.25
 	// maxReportAge is the age from which a load report is ignored.
 	maxReportAge = 2 * time.Second
-	// minWeight is the weight of a target that has just started.
+	// minWeight is the weight of a newly started target.
 	minWeight = 0.1
 )
 
@@ -130,9 +130,10 @@
 	s.reportedAt = now
 }
 
-// Cost returns the cost of one more request at the target: the weighted
-// number of requests there, this one included, times the expected latency, divided
-// by the target's weight. slowStart is the time in which a cold target reaches full weight.
+// Cost returns the cost of one more request at the target: the number of requests
+// there, this one included and other nodes' requests weighted by reportWeight, times
+// the expected latency, divided by the target's weight. slowStart is the time in which
+// a cold target reaches full weight.
 func (s *Stats) Cost(now time.Time, slowStart time.Duration) float64 {
 	ahead := float64(s.inFlight) + 1 + reportWeight*s.otherLoad(now)
 	return ahead * s.expectedLatency(now) / s.weight(now, slowStart)
--- a/internal/snapshot/manifest.go
+++ b/internal/snapshot/manifest.go
@@ -50,8 +50,8 @@
 	// Root is the digest of all group hashes. Equal roots mean equal content.
 	Root   Hash   `cbor:"h"`
 	Groups []Hash `cbor:"g"`
-	// PublishedBy and PublishedAt are informational and written to the audit
-	// trail.
+	// PublishedBy and PublishedAt are written to the audit trail. No decision
+	// depends on them.
 	PublishedBy string    `cbor:"by"`
 	PublishedAt time.Time `cbor:"at"`
 }
