--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -267,7 +267,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, count[Apply](deliver(s, start, restored)), 1)
 	assert.Equal(t, count[Apply](deliver(s, start, build(t, 10, 3, snapshot.Hash{}, "tally"))), 0)
-	assert.Equal(t, len(contract.Check(s.Applied().Set(), contract.NoPlaces{})), 0)
+	assert.Equal(t, len(contract.Check(s.Applied().Set(), contract.NoLocations{})), 0)
 }
 
 // Guards against a delayed update after a broken version. The platform failed
--- a/internal/distribution/property_test.go
+++ b/internal/distribution/property_test.go
@@ -112,7 +112,7 @@
 			assert.Assert(cl.t, applied.Service(route.Service) != nil, "route to missing service %s", route.Service)
 		}
 	}
-	assert.Equal(cl.t, len(contract.Check(applied.Set(), contract.NoPlaces{})), 0)
+	assert.Equal(cl.t, len(contract.Check(applied.Set(), contract.NoLocations{})), 0)
 }
 
 func (cl *cluster) checkBounds(s *State) {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -64,7 +64,7 @@
 	networkTime := p.ports.Clock.Now().Sub(a.began) - report.nodeTime
 	resp, err := a.forwarder.readResponse(response, a.cancel)
 	if err != nil {
-		return outcome{attempt: a, report: report, err: &port.Unknown{Stage: "answer", Cause: err}}
+		return outcome{attempt: a, report: report, err: &port.UnknownOutcome{Stage: "answer", Cause: err}}
 	}
 	return outcome{attempt: a, response: resp, report: report, networkTime: networkTime}
 }
@@ -82,7 +82,7 @@
 	}
 	p.recordResponse(o.attempt.stats, f.route, o.report, o.networkTime, o.response)
 	if f.isFailure(o.response) {
-		err := &port.Unknown{Stage: "answer", Cause: errors.Errorf("the target answered with status %d", o.response.response.Status)}
+		err := &port.UnknownOutcome{Stage: "answer", Cause: errors.Errorf("the target answered with status %d", o.response.response.Status)}
 		f.logFailure(o.attempt, err)
 		return o.response, err
 	}
--- a/internal/proxy/decisions.go
+++ b/internal/proxy/decisions.go
@@ -83,7 +83,7 @@
 func (l *requestLog) withRequest(entry *log.Entry, f *forwarder, now time.Time) *log.Entry {
 	return entry.Str(logfield.Request, f.id).Str(logfield.Fingerprint, f.fingerprint.String()).Str(logfield.Route, f.route.Name).Str(logfield.Service, f.service).
 		Int(logfield.Offers, f.attempts).Int(logfield.Arrivals, f.arrivals).
-		Int64(logfield.After, millis(now.Sub(f.began))).Int64(logfield.Left, millis(f.deadline.Sub(now))).
+		Int64(logfield.Elapsed, millis(now.Sub(f.began))).Int64(logfield.TimeLeft, millis(f.deadline.Sub(now))).
 		Uint64(logfield.Version, f.snapshot.Table.Config.Version).Int64(logfield.ViewAge, millis(l.viewAge()))
 }
 
@@ -103,7 +103,7 @@
 	if entry == nil {
 		return
 	}
-	l.withRequest(entry, f, now).Str(logfield.Outcome, logfield.BrokenOff).Str(logfield.Target, f.lastTarget).
+	l.withRequest(entry, f, now).Str(logfield.Outcome, logfield.Interrupted).Str(logfield.Target, f.lastTarget).
 		Str(logfield.Error, err.Error()).Msg("request")
 }
 
@@ -126,7 +126,7 @@
 	} else {
 		entry = entry.Str(logfield.Outcome, logfield.Unknown).Str(logfield.Error, err.Error())
 	}
-	entry.Bool(logfield.CallerGone, disconnected).Msg("request")
+	entry.Bool(logfield.CallerDisconnected, disconnected).Msg("request")
 }
 
 // lastLoad is the last reported load of a target and its age when an attempt is sent.
@@ -148,8 +148,8 @@
 	}
 	l.withRequest(entry, f, now).Str(logfield.Outcome, logfield.Failed).Str(logfield.Target, member.ID).Str(logfield.Attempt, attemptID).
 		Uint64(logfield.TargetRevision, member.Revision).
-		Str(logfield.Believed, fmt.Sprintf("%d/%d/%d", last.load.Running, last.load.Waiting, last.load.Slots)).
-		Int64(logfield.BelievedAge, millis(last.age)).Str(logfield.Error, err.Error()).Msg("attempt")
+		Str(logfield.ReportedLoad, fmt.Sprintf("%d/%d/%d", last.load.Running, last.load.Waiting, last.load.Slots)).
+		Int64(logfield.ReportedLoadAge, millis(last.age)).Str(logfield.Error, err.Error()).Msg("attempt")
 }
 
 // localFailed logs a request of another node that the owner node refused or that failed
@@ -166,8 +166,8 @@
 		entry = entry.Str(logfield.Reason, string(refusal.Reason)).Int64(logfield.RetryAfter, millis(refusal.RetryAfter))
 	}
 	entry.Str(logfield.Request, id).Str(logfield.Fingerprint, meta.fingerprint.String()).Str(logfield.Route, meta.route).Str(logfield.Attempt, meta.attemptID).Str(logfield.Outcome, outcome).
-		Int64(logfield.After, millis(now.Sub(received))).Int64(logfield.Left, millis(meta.budget-now.Sub(received))).
-		Str(logfield.Believed, fmt.Sprintf("%d/%d/%d", report.Running, report.Waiting, report.Slots)).
+		Int64(logfield.Elapsed, millis(now.Sub(received))).Int64(logfield.TimeLeft, millis(meta.budget-now.Sub(received))).
+		Str(logfield.ReportedLoad, fmt.Sprintf("%d/%d/%d", report.Running, report.Waiting, report.Slots)).
 		Int64(logfield.ViewAge, millis(l.viewAge())).Str(logfield.Error, err.Error()).Msg("own target")
 }
 
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -70,7 +70,7 @@
 	}
 	body, length, err := requestbody.Read(r.Body, r.ContentLength)
 	if err != nil {
-		return nil, &port.Unknown{Stage: "body", Cause: err}
+		return nil, &port.UnknownOutcome{Stage: "body", Cause: err}
 	}
 	f := &forwarder{
 		proxy: p, snapshot: snapshot, route: route, began: now,
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -210,7 +210,7 @@
 	}
 	if response.Header.Get(p.config.Headers.RequestID) != r.ID {
 		_ = response.Body.Close()
-		return nil, report, &port.Unknown{Stage: "answer", Cause: errors.New("the response belongs to another request")}
+		return nil, report, &port.UnknownOutcome{Stage: "answer", Cause: errors.New("the response belongs to another request")}
 	}
 	return response, report, nil
 }
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -167,7 +167,7 @@
 	if errors.As(err, &failure) && !failure.Sent {
 		return port.Refuse(port.ReasonUnreachable, retryUnreachable, "%v", failure.Cause)
 	}
-	return &port.Unknown{Stage: "target", Cause: err}
+	return &port.UnknownOutcome{Stage: "target", Cause: err}
 }
 
 // notExecuted returns a refusal if a target's response says that it did not run the
@@ -254,7 +254,7 @@
 	resp, err := bufferResponse(response)
 	if err != nil {
 		p.correctLink(&meta, 0)
-		callhttp.WriteError(w, &port.Unknown{Stage: "answer", Cause: err})
+		callhttp.WriteError(w, &port.UnknownOutcome{Stage: "answer", Cause: err})
 		return
 	}
 	p.correctLink(&meta, len(resp.body))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -138,9 +138,9 @@
 	candidates map[string]*candidates
 	// work holds the observed work of routes, by name.
 	work          map[string]*placement.RouteStats
-	retries       *retry.Ledger
+	retries       *retry.FleetBudget
 	localRuns     localRuns
-	callerRetries *clientretry.Memory
+	callerRetries *clientretry.Tracker
 	localStats    localStats
 	reachability  reachability
 	link          *link.Pacer
@@ -157,11 +157,11 @@
 		random:        rand.New(rand.NewPCG(config.Seed, 1)),
 		stats:         map[string]*placement.Stats{},
 		work:          map[string]*placement.RouteStats{},
-		retries:       retry.NewLedger(config.RetryWindow),
+		retries:       retry.NewFleetBudget(config.RetryWindow),
 		localRuns:     localRuns{running: map[string]localRun{}},
 		crashes:       ports.Crashes,
 		suspectSlot:   make(chan struct{}, 1),
-		callerRetries: clientretry.NewMemory(),
+		callerRetries: clientretry.NewTracker(),
 		reachability:  newReachability(),
 		link:          link.NewPacer(config.LinkRate),
 		turnReady:     map[*link.Transfer]chan struct{}{},
--- a/internal/proxy/repeat.go
+++ b/internal/proxy/repeat.go
@@ -16,7 +16,7 @@
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.retries.Repeat(now, f.service, p.retryTerms(f.snapshot)) {
+	if !p.retries.AllowRetry(now, f.service, p.retryTerms(f.snapshot)) {
 		return false
 	}
 	p.ports.Meter.Count(port.MetricRetries, f.route.Name, 1)
@@ -24,19 +24,19 @@
 }
 
 // retryTerms returns this node's part of the fleet's retry budget.
-func (p *Proxy) retryTerms(snapshot *Snapshot) retry.Terms {
+func (p *Proxy) retryTerms(snapshot *Snapshot) retry.Limits {
 	nodes := 1
 	if snapshot != nil {
 		nodes = max(snapshot.Nodes, 1)
 	}
-	return retry.Terms{Ratio: p.config.RetryRatio, Few: p.config.RetrySlack / float64(nodes)}
+	return retry.Limits{Ratio: p.config.RetryRatio, Slack: p.config.RetrySlack / float64(nodes)}
 }
 
 // countRequest counts a caller's request for the retry budget.
 func (p *Proxy) countRequest(f *forwarder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f.fromRetry = p.retries.Request(f.began, f.service, f.callerDeadline)
+	f.fromRetry = p.retries.CountRequest(f.began, f.service, f.callerDeadline)
 }
 
 // retryProbability returns the probability that the next arrival is a retry.
@@ -52,8 +52,8 @@
 func (p *Proxy) beginRun(now time.Time, meta *attemptMeta, deadline time.Time) *port.Refusal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	run := retry.Run{Route: meta.route, Part: meta.retryProbability, Ends: deadline}
-	if p.retries.Begin(now, meta.attemptID, run, p.retryTerms(p.snapshot.Load())) {
+	run := retry.Run{Route: meta.route, RetryProbability: meta.retryProbability, Deadline: deadline}
+	if p.retries.BeginRun(now, meta.attemptID, run, p.retryTerms(p.snapshot.Load())) {
 		return nil
 	}
 	return port.Refuse(port.ReasonBusy, retryAfterBudget, "the budget of repeats has no room for the calls of one more")
@@ -66,7 +66,7 @@
 // endRun releases the slot of a run.
 func (p *Proxy) endRun(attemptID string) {
 	p.mu.Lock()
-	p.retries.End(p.ports.Clock.Now(), attemptID)
+	p.retries.EndRun(p.ports.Clock.Now(), attemptID)
 	p.mu.Unlock()
 	p.gate.Release(attemptID)
 }
