--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -27,10 +27,10 @@
 	"tamarackquay/internal/tomlfile"
 )
 
-// fakeOwners stands for all other owner nodes: answer gives each attempt's
-// outcome, by its place in the order of attempts.
+// fakeOwners fakes all other owner nodes: respond returns the outcome of each
+// attempt, by the attempt's number.
 type fakeOwners struct {
-	answer func(ctx context.Context, number int, to membership.VM, call *port.Call) (*port.Response, error)
+	respond func(ctx context.Context, number int, to membership.VM, call *port.Call) (*port.Response, error)
 
 	mu    sync.Mutex
 	calls []port.Call
@@ -43,24 +43,24 @@
 	f.calls = append(f.calls, *call)
 	f.to = append(f.to, to.ID)
 	f.mu.Unlock()
-	return f.answer(ctx, number, to, call)
+	return f.respond(ctx, number, to, call)
 }
 
-func answerOf(status int, header http.Header, body io.Reader, length int64) *port.Response {
+func newResponse(status int, header http.Header, body io.Reader, length int64) *port.Response {
 	if header == nil {
 		header = http.Header{}
 	}
 	return &port.Response{Status: status, Header: header, Body: io.NopCloser(body), ContentLength: length}
 }
 
-func ok(body string) *port.Response {
-	return answerOf(http.StatusOK, nil, strings.NewReader(body), int64(len(body)))
+func okResponse(body string) *port.Response {
+	return newResponse(http.StatusOK, nil, strings.NewReader(body), int64(len(body)))
 }
 
-var errDied = &port.UnknownOutcome{Stage: "answer", Cause: io.ErrUnexpectedEOF}
+var errBroken = &port.UnknownOutcome{Stage: "answer", Cause: io.ErrUnexpectedEOF}
 
-// requestSet has an idempotent route, one that is not, and the service that
-// runs at the node under test.
+// requestSet returns a set with an idempotent route, two that are not, and the
+// service that runs at the node under test.
 func requestSet() *contract.Set {
 	route := func(name string, idempotent bool, methods ...string) contract.Route {
 		return contract.Route{Name: name, Prefix: "/" + name, Service: "tally", Class: "crew", Idempotent: idempotent,
@@ -76,15 +76,15 @@
 	}
 }
 
-// newEntry returns a ready node of another service with targets that owners
-// stand for: three in its own domain and three in another region.
+// newEntry returns a ready node of another service whose targets are faked by
+// owners: three in its own domain and three in another region.
 func newEntry(t testing.TB, owners *fakeOwners) *Node {
 	t.Helper()
 	n := New(Config{
 		Self:         membership.VM{ID: "entry", FailureDomain: "domain-0", Region: "region-0", Service: "other"},
 		Distribution: distribution.DefaultConfig(), Membership: membership.DefaultConfig(),
 		QueuePerSlot: 4, MaxAttempts: 3, DrainTimeout: time.Minute, Seed: 1,
-	}, Ports{Forward: owners, Target: noTarget{}, Clock: virtualClock{}, Audit: noAudit{}, Meter: silentMeter{}, Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}})
+	}, Ports{Forward: owners, Target: noTarget{}, Clock: virtualClock{}, Audit: noAudit{}, Meter: noMeter{}, Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}})
 	publication, err := snapshot.Build(requestSet(), snapshot.Origin{Version: snapshot.Version{Epoch: 1, Revision: 2}})
 	assert.NilError(t, err)
 	current, found := snapshot.Assemble(publication.Manifest, publication.Parts)
@@ -95,7 +95,8 @@
 	return n
 }
 
-// viewOf has that many targets in the node's own domain and in another region.
+// viewOf returns a view with that many targets in the node's own domain and as
+// many in another region.
 func viewOf(each int) *membership.View {
 	view := &membership.View{Targets: map[string][]membership.VM{}}
 	for i := range 2 * each {
@@ -120,9 +121,9 @@
 	return recorder
 }
 
-// A caller's request meets one outcome after another. It is told that it did
-// not run only when no attempt can have run, and a request that is not
-// idempotent is never offered again after an attempt that may have run.
+// The attempts of a request have different outcomes. The caller must get "did
+// not run" only if no attempt can have run, and a request that is not idempotent
+// must never be offered again after an attempt that may have run.
 func TestOutcomesOfAttempts(t *testing.T) {
 	full := port.Refuse(port.ReasonQueueFull, 3*time.Second, "full")
 	shed := port.Refuse(port.ReasonShed, 2*time.Second, "shed")
@@ -135,26 +136,26 @@
 		retryAfter         string
 	}{
 		{"first answer", "GET", "/tallies", []error{nil}, 1, "", ""},
-		{"idempotent and unknown is tried elsewhere", "GET", "/tallies", []error{errDied, nil}, 2, "", ""},
-		{"unknown and then refused is unknown", "GET", "/tallies", []error{errDied, full, full}, 3, callhttp.OutcomeUnknown, ""},
-		{"not idempotent and unknown is never tried again", "POST", "/returns", []error{errDied, nil}, 1, callhttp.OutcomeUnknown, ""},
-		{"a GET can be not idempotent", "GET", "/once", []error{errDied, nil}, 1, callhttp.OutcomeUnknown, ""},
-		{"a refused filing is offered elsewhere with its body", "POST", "/returns", []error{shed, stopping, nil}, 3, "", ""},
-		{"the soonest refusal is told", "POST", "/returns", []error{full, shed, full}, 3, callhttp.OutcomeDidNotRun, "2"},
-		{"a refusal that no other target would change", "GET", "/tallies", []error{port.Refuse(port.ReasonNoGrant, 0, "none")}, 1, callhttp.OutcomeDidNotRun, ""},
+		{"idempotent and unknown is retried", "GET", "/tallies", []error{errBroken, nil}, 2, "", ""},
+		{"unknown and then refused is unknown", "GET", "/tallies", []error{errBroken, full, full}, 3, callhttp.OutcomeUnknown, ""},
+		{"not idempotent and unknown is never retried", "POST", "/returns", []error{errBroken, nil}, 1, callhttp.OutcomeUnknown, ""},
+		{"a GET can be not idempotent", "GET", "/once", []error{errBroken, nil}, 1, callhttp.OutcomeUnknown, ""},
+		{"a refused request is retried with its body", "POST", "/returns", []error{shed, stopping, nil}, 3, "", ""},
+		{"the shortest retry time is returned", "POST", "/returns", []error{full, shed, full}, 3, callhttp.OutcomeDidNotRun, "2"},
+		{"a refusal that any target would give", "GET", "/tallies", []error{port.Refuse(port.ReasonNoGrant, 0, "none")}, 1, callhttp.OutcomeDidNotRun, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
 			owners := &fakeOwners{}
-			owners.answer = func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
+			owners.respond = func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
 				if c.outcomes[number] != nil {
 					return nil, c.outcomes[number]
 				}
 				if call.Body == nil {
-					return ok("whole"), nil
+					return okResponse("whole"), nil
 				}
 				content, err := io.ReadAll(call.Body)
-				return ok(string(content)), err
+				return okResponse(string(content)), err
 			}
 			var body io.Reader
 			if c.method == http.MethodPost {
@@ -171,10 +172,10 @@
 	}
 }
 
-// Each attempt has an id of its own and goes to another target, after a target
-// without room to another region.
-func TestAttemptsGoElsewhere(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
+// Each attempt must have its own id and go to another target, and after a full
+// queue to another region.
+func TestAttemptsUseDistinctTargets(t *testing.T) {
+	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		return nil, port.Refuse(port.ReasonQueueFull, time.Second, "full")
 	}}
 	serve(newEntry(t, owners), "GET", "/tallies", nil)
@@ -185,11 +186,11 @@
 	assert.Assert(t, owners.calls[0].ID != owners.calls[1].ID)
 }
 
-// While every target fails, retries must not add a load that keeps the targets
+// While every target fails, retries must not add load that prevents the targets
 // from recovering.
 func TestRetriesDontAmplify(t *testing.T) {
-	for _, failure := range []error{errDied, port.Refuse(port.ReasonQueueFull, time.Second, "full"), port.Refuse(port.ReasonUnreachable, time.Second, "down")} {
-		owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return nil, failure }}
+	for _, failure := range []error{errBroken, port.Refuse(port.ReasonQueueFull, time.Second, "full"), port.Refuse(port.ReasonUnreachable, time.Second, "down")} {
+		owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return nil, failure }}
 		n := newEntry(t, owners)
 		const requests = 1000
 		for range requests {
@@ -201,18 +202,18 @@
 	}
 }
 
-// One target of three hangs. The caller of an idempotent request still gets its
-// answer before the deadline, from another target; the hung attempt is ended.
+// One target hangs. The caller of an idempotent request must still get a response
+// from another target before the deadline, and the hung attempt must end.
 func TestHungTargetLeavesTimeForAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := false
-		owners := &fakeOwners{answer: func(ctx context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
+		owners := &fakeOwners{respond: func(ctx context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
 			if number > 0 {
-				return ok("whole"), nil
+				return okResponse("whole"), nil
 			}
 			time.Sleep(time.Until(call.Deadline))
 			ended = true
-			return nil, errDied
+			return nil, errBroken
 		}}
 		start := time.Now()
 		got := serve(newEntry(t, owners), "GET", "/tallies", nil)
@@ -221,12 +222,13 @@
 	})
 }
 
-// Callers that give up say nothing about the target: it must not be ejected.
-func TestCallersThatGiveUpEjectNobody(t *testing.T) {
+// Callers that disconnect, or that send a short time budget, are no evidence of a
+// fault of the target: it must not be ejected.
+func TestDisconnectedCallersEjectNoTarget(t *testing.T) {
 	var giveUp context.CancelFunc
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
+	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		giveUp()
-		return nil, errDied
+		return nil, errBroken
 	}}
 	n := newEntry(t, owners)
 	for range 50 {
@@ -245,40 +247,40 @@
 	}
 	assert.Assert(t, len(owners.calls) >= 100)
 	for target := range n.targets.service("tally").pool.Load().all {
-		assert.Assert(t, target.available(time.Now()), "%s is out", target.vm.ID)
+		assert.Assert(t, target.available(time.Now()), "%s is ejected", target.vm.ID)
 	}
 }
 
-// At most half of a service's targets are put out, however many fail.
+// At most half of a service's targets may be ejected, however many fail.
 func TestEjectionIsCapped(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return nil, errDied }}
+	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return nil, errBroken }}
 	n := newEntry(t, owners)
 	for range 200 {
 		serve(n, "GET", "/tallies", nil)
 	}
-	out := 0
+	ejected := 0
 	for target := range n.targets.service("tally").pool.Load().all {
 		if !target.available(time.Now()) {
-			out++
+			ejected++
 		}
 	}
-	assert.Equal(t, out, 3)
+	assert.Equal(t, ejected, 3)
 }
 
-// A large body is offered elsewhere only while not a byte of it was read, and
-// an attempt that is over can read nothing of it any more.
-func TestLargeBodyIsHandedOnUnread(t *testing.T) {
+// A request with a large body may be retried only if no byte of the body was
+// read, and an ended attempt must not be able to read from it.
+func TestLargeBodyIsRetriedUnread(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), 2*requestbody.MaxBufferedBytes)
 	for _, read := range []bool{false, true} {
 		owners := &fakeOwners{}
 		var first io.Reader
-		owners.answer = func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
+		owners.respond = func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
 			if number > 0 {
 				_, err := first.Read(make([]byte, 1))
 				assert.ErrorIs(t, err, requestbody.ErrRevoked)
 				content, err := io.ReadAll(call.Body)
 				assert.Equal(t, len(content), len(large))
-				return ok("whole"), err
+				return okResponse("whole"), err
 			}
 			first = call.Body
 			if read {
@@ -295,14 +297,14 @@
 	}
 }
 
-// A forwarded call that comes a second time is not run, nor is it called "did
-// not run": the first one may have.
+// A forwarded call that arrives twice must not run again, and the outcome of the
+// second one must not be "did not run", since the first one may have run.
 func TestDuplicateForwardRunsOnce(t *testing.T) {
 	n := newEntry(t, nil)
 	n.config.Self.Service = "tally"
 	runs := &countingTarget{}
 	n.ports.Target = runs
-	n.gate.Configure(admissionTerms(n.current.Load(), n.config))
+	n.gate.Configure(newTerms(n.current.Load(), n.config))
 	call := &port.Call{ID: "id", Customer: "co-operative", Service: "tally", Route: "returns", Method: "POST", StallTimeout: time.Second, Deadline: time.Now().Add(time.Second)}
 	for _, want := range []string{"", callhttp.OutcomeUnknown} {
 		recorder := httptest.NewRecorder()
@@ -316,29 +318,30 @@
 
 func (c *countingTarget) Do(context.Context, *port.Call) (*port.Response, error) {
 	c.count++
-	return ok("ran"), nil
+	return okResponse("ran"), nil
 }
 
-// The memory of forwarded calls keeps at least its last recentCalls and at most
-// twice as many.
-func TestRecentIsBounded(t *testing.T) {
-	r := newRecent()
-	for i := range 5 * recentCalls {
-		assert.Assert(t, r.first(fmt.Sprint(i)))
-		assert.Assert(t, len(r.now)+len(r.old) <= 2*recentCalls)
+// recentIDs must keep at least the last minRecentIDs ids and at most twice as
+// many.
+func TestRecentIDsAreBounded(t *testing.T) {
+	r := newRecentIDs()
+	for i := range 5 * minRecentIDs {
+		assert.Assert(t, r.add(fmt.Sprint(i)))
+		assert.Assert(t, len(r.current)+len(r.previous) <= 2*minRecentIDs)
 	}
-	for i := range recentCalls {
-		assert.Assert(t, !r.first(fmt.Sprint(5*recentCalls-1-i)))
+	for i := range minRecentIDs {
+		assert.Assert(t, !r.add(fmt.Sprint(5*minRecentIDs-1-i)))
 	}
 }
 
-// A call comes with a newer version than the owner node has. It runs if the
-// older version has the same route and grant, and else did not run: behind.
+// A call carries a newer version than the owner node has. It must run if the
+// older version has the same route and grant, and otherwise be refused with the
+// reason "behind".
 func TestOwnerBehindTheCall(t *testing.T) {
 	n := newEntry(t, nil)
 	n.config.Self.Service = "tally"
 	n.ports.Target = &countingTarget{}
-	n.gate.Configure(admissionTerms(n.current.Load(), n.config))
+	n.gate.Configure(newTerms(n.current.Load(), n.config))
 	view := viewOf(1)
 	view.Peers = view.Targets["tally"]
 	n.view.Store(view)
@@ -355,18 +358,21 @@
 		})
 		assert.Equal(t, recorder.Header().Get(callhttp.HeaderReason), c.want)
 	}
-	assert.Equal(t, len(n.events), 1, "a newer version starts one pull, not one for each call")
+	assert.Equal(t, len(n.events), 1, "a newer version must start one pull, not one for each call")
 }
 
-// A stopping node takes no work for its own target at once, serves callers for
-// a while through others, and closes their connections with each answer.
+// A stopping node must at once refuse requests for its local target, still serve
+// callers for a while through other targets, and close their connections with
+// each response.
 func TestStoppingNodeClosesPolitely(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
+	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
+		return okResponse("whole"), nil
+	}}
 	n := newEntry(t, owners)
 	n.stopping.Store(true)
 	got := serve(n, "GET", "/tallies", nil)
 	assert.Equal(t, got.Body.String()+got.Header().Get("Connection"), "wholeclose")
-	_, _, err := n.own(t.Context(), &port.Call{Service: "other"})
+	_, _, err := n.runLocal(t.Context(), &port.Call{Service: "other"})
 	var refusal *port.Refusal
 	assert.Assert(t, errors.As(err, &refusal) && refusal.Reason == port.ReasonStopping)
 	n.closed.Store(true)
@@ -374,8 +380,8 @@
 	assert.Equal(t, got.Header().Get(callhttp.HeaderReason)+got.Header().Get("Connection"), "stoppingclose")
 }
 
-// A target that calls on passes its chain and what is left of its deadline to
-// its own node; a caller can shorten the route's deadline and never lengthen it.
+// A target that makes inner calls passes its call chain and its remaining time to
+// its own node. A caller may shorten the route's deadline but never extend it.
 func TestChainAndDeadlineArePassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
@@ -383,7 +389,9 @@
 			wantDepth     int
 			want          time.Duration
 		}{{"", "", 0, 4 * time.Second}, {"a,b,c", "500", 3, 500 * time.Millisecond}, {strings.Repeat("a,", 99), "99000", 9, 4 * time.Second}, {"a", "-5", 1, 4 * time.Second}, {"a", "x", 1, 4 * time.Second}} {
-			owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
+			owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
+				return okResponse("whole"), nil
+			}}
 			n := newEntry(t, owners)
 			n.config.MaxAttempts = 1
 			request := httptest.NewRequest("GET", "/tallies", nil)
@@ -397,53 +405,58 @@
 	})
 }
 
-// A process wakes from a pause, and a request is handled before the control
-// loop has had its turn: what the node knows of members is old, so the request
-// is refused in place of being sent to a VM that may have departed.
+// After a pause of the process, a request is handled before the control loop
+// runs. The membership is then old, so the request must be refused instead of
+// being sent to a VM that may have departed.
 func TestRequestRightAfterPause(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
+	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
+		return okResponse("whole"), nil
+	}}
 	n := newEntry(t, owners)
-	slept := time.Now().Add(-time.Minute)
-	n.lastTurn.Store(&slept)
+	beforePause := time.Now().Add(-time.Minute)
+	n.lastRun.Store(&beforePause)
 	assert.Equal(t, serve(n, "GET", "/tallies", nil).Header().Get(callhttp.HeaderReason), string(port.ReasonNotReady))
-	woken := time.Now()
-	n.lastTurn.Store(&woken)
+	now := time.Now()
+	n.lastRun.Store(&now)
 	assert.Equal(t, serve(n, "GET", "/tallies", nil).Body.String(), "whole")
 }
 
-// A process wakes from a pause, and a request comes while the control loop is
-// handling the pause: it has had its turn, but hasn't told the others yet that
-// the node must ask its peers first. The request is refused as well. Its caller
-// had gone when the node was still frozen, and it ran a second past its deadline.
+// After a pause of the process, a request arrives while the control loop handles
+// the pause: the loop has run, but has not yet published that the node must
+// refresh first. The request must be refused as well. Otherwise it runs although
+// its caller disconnected during the pause; this happened a second past the
+// request's deadline.
 func TestRequestWhileAPauseIsHandled(t *testing.T) {
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) { return ok("whole"), nil }}
+	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
+		return okResponse("whole"), nil
+	}}
 	n := newEntry(t, owners)
-	slept := time.Now().Add(-time.Minute)
-	n.lastTurn.Store(&slept)
-	var told string
+	beforePause := time.Now().Add(-time.Minute)
+	n.lastRun.Store(&beforePause)
+	var reason string
 	n.OnPause(func(time.Duration) {
-		told = serve(n, "GET", "/tallies", nil).Header().Get(callhttp.HeaderReason)
+		reason = serve(n, "GET", "/tallies", nil).Header().Get(callhttp.HeaderReason)
 	})
-	n.turn(time.Now())
-	assert.Equal(t, told, string(port.ReasonNotReady))
+	n.checkPause(time.Now())
+	assert.Equal(t, reason, string(port.ReasonNotReady))
 }
 
-// A large return is offered without waiting and found busy after a part of it
-// was read. The next target must never get what is left for a whole return: it
-// would file half of it. Large bodies are not sent on probes, and a body that
-// was read can't be read again.
+// A large body is sent on a probe, and the target refuses the probe as busy after
+// it read a part of the body. If the next target got the rest as a complete body,
+// it would file half a return. So large bodies must not be sent on probes, and a
+// body that was read must not be readable again.
 func TestHalfABodyIsNeverOffered(t *testing.T) {
 	large := strings.Repeat("x", 2*requestbody.MaxBufferedBytes)
 	owners := &fakeOwners{}
-	owners.answer = func(_ context.Context, _ int, _ membership.VM, call *port.Call) (*port.Response, error) {
+	owners.respond = func(_ context.Context, _ int, _ membership.VM, call *port.Call) (*port.Response, error) {
 		if call.NoWait {
 			t.Error("a large body was sent on a probe")
 			_, _ = call.Body.Read(make([]byte, 100))
 			return nil, port.Refuse(port.ReasonBusy, time.Second, "busy")
 		}
 		content, err := io.ReadAll(call.Body)
-		assert.Check(t, err != nil || len(content) == len(large), "%d bytes passed for the whole return", len(content))
-		return ok("filed"), nil
+		assert.Check(t, err != nil || len(content) == len(large), "%d bytes were accepted as the complete return", len(content))
+		return okResponse("filed"), nil
 	}
 	for _, body := range []io.Reader{strings.NewReader(large), io.MultiReader(strings.NewReader(large))} {
 		got := serve(newEntry(t, owners), "POST", "/returns", body)
--- a/internal/node/resume.go
+++ b/internal/node/resume.go
@@ -11,49 +11,49 @@
 	"tamarackquay/internal/routing/resume"
 )
 
-// maxResumes bounds how often one body is continued. Each time costs a target
-// the rest of the body, never the whole of it.
+// maxResumes bounds how often one body is resumed. Each time, a target sends
+// only the rest of the body, never all of it.
 const maxResumes = 4
 
-// resumingBody is the body of an answer that is continued from another target
-// when it breaks. The caller sees one whole body, or one that is broken.
+// resumingBody is the body of a response. If it breaks, it is resumed from
+// another target. The caller gets one complete body, or one that breaks visibly.
 type resumingBody struct {
-	ctx     context.Context
-	flight  *flight
-	plan    *resume.Plan
-	current *delivery
-	passed  int64
-	resumes int
+	ctx       context.Context
+	forwarder *forwarder
+	plan      *resume.Plan
+	current   *openResponse
+	offset    int64
+	resumes   int
 }
 
-// resumable puts a resumingBody in place of the delivery's body where another
-// target's bytes are known to be the same.
-func (f *flight) resumable(ctx context.Context, d *delivery) *delivery {
+// withResume replaces the response's body by a resumingBody if it is possible to
+// verify that another target sends the same bytes.
+func (f *forwarder) withResume(ctx context.Context, resp *openResponse) *openResponse {
 	if f.call.Method != http.MethodGet || !f.route.Idempotent {
-		return d
+		return resp
 	}
-	plan, ok := resume.NewPlan(describe(d.answer))
+	plan, ok := resume.NewPlan(describeResponse(resp.response))
 	if !ok {
-		return d
+		return resp
 	}
-	body := &resumingBody{ctx: ctx, flight: f, plan: plan, current: d}
-	answer := *d.answer
-	answer.Body = body
-	return &delivery{answer: &answer, release: func() { body.current.release() }}
+	body := &resumingBody{ctx: ctx, forwarder: f, plan: plan, current: resp}
+	response := *resp.response
+	response.Body = body
+	return &openResponse{response: &response, release: func() { body.current.release() }}
 }
 
-func describe(answer *port.Response) resume.Response {
+func describeResponse(response *port.Response) resume.Response {
 	return resume.Response{
-		Status: answer.Status, Length: answer.ContentLength,
-		ETag: answer.Header.Get("Etag"), ContentRange: answer.Header.Get("Content-Range"),
+		Status: response.Status, Length: response.ContentLength,
+		ETag: response.Header.Get("Etag"), ContentRange: response.Header.Get("Content-Range"),
 	}
 }
 
 // Read implements io.Reader.
 func (b *resumingBody) Read(p []byte) (int, error) {
 	for {
-		count, err := b.current.answer.Body.Read(p)
-		b.passed += int64(count)
+		count, err := b.current.response.Body.Read(p)
+		b.offset += int64(count)
 		if err == nil || err == io.EOF || b.ctx.Err() != nil {
 			return count, err
 		}
@@ -61,40 +61,41 @@
 			return count, nil
 		}
 		if resumeErr := b.resume(); resumeErr != nil {
-			return 0, errors.Wrapf(err, "not resumed (%v)", resumeErr)
+			return 0, errors.Wrapf(err, "failed to resume body (%v)", resumeErr)
 		}
 	}
 }
 
 // Close implements io.Closer.
-func (b *resumingBody) Close() error { return b.current.answer.Body.Close() }
+func (b *resumingBody) Close() error { return b.current.response.Body.Close() }
 
-// resume replaces the broken delivery by one that starts where it broke.
+// resume replaces the broken response by one that starts where it broke.
 func (b *resumingBody) resume() error {
 	if b.resumes++; b.resumes > maxResumes {
-		return errors.Errorf("broke %d times", b.resumes)
+		return errors.Errorf("body broke %d times", b.resumes)
 	}
-	// The slot of the broken attempt is given back first, or the same request
+	// The slot of the broken attempt is released first, or the same request
 	// would hold two.
 	b.current.release()
-	b.current = &delivery{answer: &port.Response{Body: http.NoBody}, release: func() {}}
-	next := b.flight.continuation(b.plan, b.passed, b.resumes)
-	d, err := next.dispatch(b.ctx)
+	b.current = &openResponse{response: &port.Response{Body: http.NoBody}, release: func() {}}
+	next := b.forwarder.continuation(b.plan, b.offset, b.resumes)
+	resp, err := next.dispatch(b.ctx)
 	if err != nil {
 		return err
 	}
-	if err := b.plan.Check(b.passed, describe(d.answer)); err != nil {
-		d.release()
+	if err := b.plan.Check(b.offset, describeResponse(resp.response)); err != nil {
+		resp.release()
 		return err
 	}
-	b.current = d
-	b.flight.node.ports.Meter.Count(port.MetricResumed, b.flight.route.Name, 1)
+	b.current = resp
+	b.forwarder.node.ports.Meter.Count(port.MetricResumed, b.forwarder.route.Name, 1)
 	return nil
 }
 
-// continuation is the request for the rest of the body, with a deadline of its
-// own. The target that broke is tried last: it may be the only one.
-func (f *flight) continuation(plan *resume.Plan, passed int64, number int) *flight {
+// continuation returns the forwarder of the request for the rest of the body,
+// with a deadline of its own. The target whose response broke is excluded from
+// the first continuation, but not from later ones: it may be the only one left.
+func (f *forwarder) continuation(plan *resume.Plan, offset int64, number int) *forwarder {
 	call := *f.call
 	call.ID = f.node.newID()
 	call.Deadline = f.node.ports.Clock.Now().Add(f.route.Deadline.Std())
@@ -102,7 +103,7 @@
 	for _, name := range []string{"If-Match", "If-None-Match", "If-Modified-Since", "If-Unmodified-Since"} {
 		call.Header.Del(name)
 	}
-	call.Header.Set("Range", plan.Range(passed))
+	call.Header.Set("Range", plan.Range(offset))
 	call.Header.Set("If-Range", plan.ETag())
 	next := *f
 	next.call = &call
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -18,8 +18,8 @@
 	"tamarackquay/internal/port"
 )
 
-// brokenAfter gives the first bytes of a text and then an error, or nothing.
-func brokenAfter(text string, count int, hang bool) io.ReadCloser {
+// brokenBody returns the first bytes of a text and then an error, or hangs.
+func brokenBody(text string, count int, hang bool) io.ReadCloser {
 	reader, writer := io.Pipe()
 	go func() {
 		_, _ = io.WriteString(writer, text[:count])
@@ -30,19 +30,20 @@
 	return reader
 }
 
-// archive is an owner's answer to a call for text, from where its Range says.
-func archive(text, etag string, call *port.Call) *port.Response {
+// archiveResponse returns an owner's response to a call for text, or for a part
+// of it if the call has a Range.
+func archiveResponse(text, etag string, call *port.Call) *port.Response {
 	var first, last int
 	header := http.Header{"Etag": {etag}}
 	if _, err := fmt.Sscanf(call.Header.Get("Range"), "bytes=%d-%d", &first, &last); err != nil {
-		return answerOf(http.StatusOK, header, strings.NewReader(text), int64(len(text)))
+		return newResponse(http.StatusOK, header, strings.NewReader(text), int64(len(text)))
 	}
 	header.Set("Content-Range", fmt.Sprintf("bytes %d-%d/%d", first, last, len(text)))
 	part := text[first : last+1]
-	return answerOf(http.StatusPartialContent, header, strings.NewReader(part), int64(len(part)))
+	return newResponse(http.StatusPartialContent, header, strings.NewReader(part), int64(len(part)))
 }
 
-// fetch asks a server of the node for an archive.
+// fetch requests an archive from the node over HTTP.
 func fetch(t *testing.T, n *Node, byteRange string) (string, int, error) {
 	server := httptest.NewServer(http.HandlerFunc(n.ServeCaller))
 	defer server.Close()
@@ -59,14 +60,15 @@
 	return string(content), response.StatusCode, err
 }
 
-// A marshal's archive breaks or stalls halfway. Where another target proves by
-// a strong ETag that it has the same bytes, the caller sees one whole body;
-// elsewhere it sees a body that is visibly broken, never a short one.
+// The download of an archive breaks or stalls halfway. If another target has the
+// same strong ETag and therefore the same bytes, the caller must get one complete
+// body; otherwise its body must visibly break, and never end early without an
+// error.
 func TestBrokenArchive(t *testing.T) {
 	text := strings.Repeat("0123456789", 5000)
 	cases := []struct {
 		desc, firstTag, nextTag, byteRange string
-		hang, whole, chunked               bool
+		hang, complete, chunked            bool
 	}{
 		{"breaks and is resumed", `"a"`, `"a"`, "", false, true, false},
 		{"stalls and is resumed", `"a"`, `"a"`, "", true, true, false},
@@ -78,25 +80,25 @@
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
-			owners := &fakeOwners{answer: func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
+			owners := &fakeOwners{respond: func(_ context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
 				if number > 0 {
-					return archive(text, c.nextTag, call), nil
+					return archiveResponse(text, c.nextTag, call), nil
 				}
-				whole := archive(text, c.firstTag, call)
-				content, _ := io.ReadAll(whole.Body)
-				whole.Body = brokenAfter(string(content), 20_000, c.hang)
+				first := archiveResponse(text, c.firstTag, call)
+				content, _ := io.ReadAll(first.Body)
+				first.Body = brokenBody(string(content), 20_000, c.hang)
 				if c.chunked {
-					whole.ContentLength = -1
+					first.ContentLength = -1
 				}
-				return whole, nil
+				return first, nil
 			}}
 			n := newEntry(t, owners)
 			content, _, err := fetch(t, n, c.byteRange)
 			for target := range n.targets.service("tally").pool.Load().all {
-				assert.Equal(t, target.stats.InFlight(), 0, "a slot of %s is held for ever", target.vm.ID)
+				assert.Equal(t, target.stats.InFlight(), 0, "a slot of %s is not released", target.vm.ID)
 			}
-			if !c.whole {
-				assert.Assert(t, err != nil, "%d bytes passed for whole", len(content))
+			if !c.complete {
+				assert.Assert(t, err != nil, "%d bytes were accepted as complete", len(content))
 				return
 			}
 			assert.NilError(t, err)
@@ -104,21 +106,21 @@
 			if c.byteRange != "" {
 				want = text[100:30000]
 			}
-			assert.Assert(t, content == want, "%d bytes in place of %d", len(content), len(want))
+			assert.Assert(t, content == want, "got %d bytes, want %d", len(content), len(want))
 			assert.Assert(t, owners.to[0] != owners.to[1])
 		})
 	}
 }
 
-// A caller asks for an archive and stops reading. Its connection is cut after
-// the stall time, and the target's slot is free again.
+// A caller requests an archive and stops reading. Its connection must be aborted
+// after the stall timeout, and the target's slot released.
 func TestSlowReaderFreesItsSlot(t *testing.T) {
 	released := make(chan struct{})
-	owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
+	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		const endless = 1 << 40
-		answer := answerOf(http.StatusOK, nil, zeros{}, endless)
-		answer.Body = &closing{Reader: answer.Body, closed: released}
-		return answer, nil
+		response := newResponse(http.StatusOK, nil, zeros{}, endless)
+		response.Body = &closeNotifier{Reader: response.Body, closed: released}
+		return response, nil
 	}}
 	server := httptest.NewServer(http.HandlerFunc(newEntry(t, owners).ServeCaller))
 	defer server.Close()
@@ -130,7 +132,7 @@
 	select {
 	case <-released:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the slot is still held")
+		t.Fatal("the slot was not released")
 	}
 }
 
@@ -138,29 +140,30 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-type closing struct {
+type closeNotifier struct {
 	io.Reader
 	closed chan struct{}
 }
 
-func (c *closing) Close() error {
+func (c *closeNotifier) Close() error {
 	close(c.closed)
 	return nil
 }
 
-// HEAD and bodiless answers tell the length of what they don't send.
-func TestBodilessAnswersKeepTheirHeader(t *testing.T) {
+// Responses to HEAD and those without a body may carry the Content-Length of
+// content that they don't send; it must be passed on unchanged.
+func TestBodilessResponsesKeepTheirHeader(t *testing.T) {
 	for _, c := range []struct {
 		method string
 		status int
 		length string
 	}{{http.MethodHead, 200, "1234"}, {http.MethodGet, 304, ""}, {http.MethodGet, 204, ""}} {
-		owners := &fakeOwners{answer: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
+		owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 			header := http.Header{}
 			if c.length != "" {
 				header.Set("Content-Length", c.length)
 			}
-			return answerOf(c.status, header, http.NoBody, 0), nil
+			return newResponse(c.status, header, http.NoBody, 0), nil
 		}}
 		server := httptest.NewServer(http.HandlerFunc(newEntry(t, owners).ServeCaller))
 		request, err := http.NewRequest(c.method, server.URL+"/tallies", nil)
@@ -175,11 +178,12 @@
 	}
 }
 
-// A connection that breaks while the caller sends its filing reaches no target.
+// If the connection breaks while the caller sends the body, no target may get the
+// request.
 func TestBrokenUploadReachesNoTarget(t *testing.T) {
 	owners := &fakeOwners{}
 	n := newEntry(t, owners)
-	for _, body := range []io.Reader{iotestErr{}, io.MultiReader(strings.NewReader("half"), iotestErr{})} {
+	for _, body := range []io.Reader{failingReader{}, io.MultiReader(strings.NewReader("half"), failingReader{})} {
 		request := httptest.NewRequest(http.MethodPost, "/returns", body)
 		request.Header.Set("Authorization", "Bearer token")
 		request.ContentLength = 100
@@ -190,6 +194,6 @@
 	assert.Equal(t, len(owners.calls), 0)
 }
 
-type iotestErr struct{}
+type failingReader struct{}
 
-func (iotestErr) Read([]byte) (int, error) { return 0, errors.New("connection reset") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("connection reset") }
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -12,7 +12,7 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// perform carries out what the distribution state decided.
+// perform executes the effects that the distribution state returned.
 func (n *Node) perform(ctx context.Context, effects []distribution.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -27,9 +27,9 @@
 		case distribution.Refuse:
 			n.refuseVersion(e)
 		case distribution.Conflict:
-			n.tellConflict(e)
+			n.reportConflict(e)
 		case distribution.Incomplete:
-			n.tellIncomplete(e)
+			n.reportIncomplete(e)
 		}
 	}
 }
@@ -37,7 +37,7 @@
 func (n *Node) apply(e distribution.Apply) {
 	applied := e.Snapshot
 	n.current.Store(applied)
-	n.gate.Configure(admissionTerms(applied, n.config))
+	n.gate.Configure(newTerms(applied, n.config))
 	n.ports.Meter.Count(port.MetricApplied, "", 1)
 	manifest := applied.Manifest()
 	n.ports.Log.Info().Str("version", applied.Version().String()).Str("root", applied.Root().Short()).Msg("version applied")
@@ -56,7 +56,7 @@
 	})
 }
 
-func (n *Node) tellConflict(e distribution.Conflict) {
+func (n *Node) reportConflict(e distribution.Conflict) {
 	n.ports.Meter.Count(port.MetricConflicts, "", 1)
 	n.ports.Log.Error().Str("version", e.Version.String()).Str("finding", e.Findings.Error()).Msg("operators published over each other")
 	n.audit(port.AuditEvent{
@@ -65,8 +65,8 @@
 	})
 }
 
-func (n *Node) tellIncomplete(e distribution.Incomplete) {
-	n.ports.Log.Error().Str("version", e.Version.String()).Str("finding", e.Findings.Error()).Msg("version lacks parts")
+func (n *Node) reportIncomplete(e distribution.Incomplete) {
+	n.ports.Log.Error().Str("version", e.Version.String()).Str("finding", e.Findings.Error()).Msg("version incomplete, parts missing")
 	n.audit(port.AuditEvent{
 		Kind: port.AuditIncomplete, Version: e.Version.String(), Root: e.Root.String(),
 		From: sourceName(distribution.Platform), Findings: e.Findings,
@@ -77,22 +77,22 @@
 	return cmp.Or(string(source), "platform")
 }
 
-// announce tells the peers that distribution chose. A lost announce is mended
-// by another path or by the next heartbeats.
+// announce sends an announce to the peers that distribution selects. If one is
+// lost, the peer gets the version on another path or by the next heartbeats.
 func (n *Node) announce(ctx context.Context, e distribution.Announce) {
 	message := port.Announce{From: n.config.Self.ID, Version: e.Version, Root: e.Root}
-	audience := distribution.AnnouncePeers(n.config.Distribution, n.config.Self, liveVMs(n.view.Load()), e.Root, e.Origin)
-	for _, vm := range audience {
+	peers := distribution.AnnouncePeers(n.config.Distribution, n.config.Self, liveVMs(n.view.Load()), e.Root, e.Origin)
+	for _, vm := range peers {
 		n.background.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
 			_ = n.ports.Peers.Send(ctx, vm, message)
 		})
 	}
 }
 
-// liveVMs lists the VMs that are live and can be reached, the node itself
-// included.
+// liveVMs returns the VMs that are live and reachable, including the node
+// itself.
 func liveVMs(view *membership.View) []membership.VM {
 	live := make([]membership.VM, 0, len(view.Records))
 	for _, record := range view.Records {
@@ -103,8 +103,8 @@
 	return live
 }
 
-// announced takes a peer's word, given on purpose, that it has a version.
-func (n *Node) announced(ctx context.Context, m port.Announce) {
+// announceReceived handles a peer's announce of a version.
+func (n *Node) announceReceived(ctx context.Context, m port.Announce) {
 	n.post(ctx, func(ctx context.Context, now time.Time) {
 		claim := distribution.Claim{
 			From: distribution.Source(m.From), Version: m.Version, Root: m.Root,
@@ -117,27 +117,27 @@
 	})
 }
 
-// claimOf is what a heartbeat says of its sender's version.
-func (n *Node) claimOf(beat port.Heartbeat) distribution.Claim {
+// claimFrom returns the version that the sender of a heartbeat reports.
+func (n *Node) claimFrom(heartbeat port.Heartbeat) distribution.Claim {
 	return distribution.Claim{
-		From: distribution.Source(beat.From.VM.ID), Version: beat.Version, Root: beat.Root,
-		Distance: distribution.DistanceOf(n.config.Self, beat.From.VM),
+		From: distribution.Source(heartbeat.From.VM.ID), Version: heartbeat.Version, Root: heartbeat.Root,
+		Distance: distribution.DistanceOf(n.config.Self, heartbeat.From.VM),
 	}
 }
 
-// Bounds on what a node gives to peers that pull: a few whole configurations
-// at once, then a steady rate. A whole domain that reconnects to one node is
-// told when to come back, and asks others meanwhile.
+// Limits on the bytes that a node sends to peers that pull: a burst of a few
+// full configurations, then a steady rate. If a whole domain reconnects to one
+// node, the node returns a retry time, and the peers pull from others meanwhile.
 const (
 	serveBytesPerSecond = 1 << 20
 	serveBurst          = 4 << 20
 )
 
-// admitPull takes size bytes from the budget for pulls. It returns zero when
-// there is room, and else when the peer should come back.
+// admitPull takes size bytes from the rate limit for pulls. It returns zero if
+// they are available, otherwise the time after which the peer should retry.
 func (n *Node) admitPull(size int) time.Duration {
 	now := n.ports.Clock.Now()
-	reservation := n.served.ReserveN(now, size)
+	reservation := n.pullLimiter.ReserveN(now, size)
 	wait := reservation.DelayFrom(now)
 	if wait > 0 {
 		reservation.CancelAt(now)
@@ -161,7 +161,8 @@
 	return port.ManifestReply{Manifest: raw}, nil
 }
 
-// maxReplyBytes leaves room for the envelope of a reply that carries parts.
+// maxReplyBytes bounds the parts in one reply and leaves space for the reply's
+// envelope.
 const maxReplyBytes = snapshot.MaxPartBytes
 
 func (n *Node) partsReply(request port.PartsRequest) (port.Message, error) {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -8,49 +8,51 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// Status is what operators see of a node.
+// Status is a node's state as shown to operators.
 type Status struct {
 	VM       membership.VM `json:"vm"`
 	Ready    bool          `json:"ready"`
 	Stopping bool          `json:"stopping"`
 	Health   Health        `json:"health"`
-	// Started is when the process began.
+	// Started is when the process started.
 	Started time.Time        `json:"started"`
 	Applied snapshot.Version `json:"applied"`
 	Root    snapshot.Hash    `json:"root"`
-	// AppliedAt is when this node put the version in force, by its own clock;
-	// zero while it has none. PublishedBy and PublishedAt are the publisher's
-	// words in the manifest.
+	// AppliedAt is when this node applied the version, by its own clock; zero
+	// while it has none. PublishedBy and PublishedAt are copied from the
+	// manifest, as the publisher set them.
 	AppliedAt   time.Time        `json:"applied_at"`
 	PublishedBy string           `json:"published_by"`
 	PublishedAt time.Time        `json:"published_at"`
 	Reported    snapshot.Version `json:"reported"`
 	Platform    PlatformStatus   `json:"platform"`
-	// Running and Waiting are requests at the local target's slots and queue.
+	// Running and Waiting count the requests in the local target's slots and
+	// queue.
 	Running int                 `json:"running"`
 	Waiting int                 `json:"waiting"`
 	Members []membership.Record `json:"members,omitempty"`
-	// MemberCount is the length of Members, also where that is left out.
+	// MemberCount is the length of Members, and is set even if Members is left
+	// out.
 	MemberCount int `json:"member_count"`
-	// Troubles are versions that were refused, can't be had whole or were
-	// published over each other; the last ones, oldest first.
+	// VersionProblems are the latest versions that were refused, incomplete or
+	// in conflict with another, oldest first.
 	VersionProblems []VersionProblem `json:"troubles,omitempty"`
 	// RefusedRequests counts refusals to callers since the start, by reason.
 	RefusedRequests map[port.Reason]int `json:"refused_requests,omitempty"`
 
-	// Unheard counts VMs that only the platform's list has named.
+	// Unconfirmed counts VMs that are known from the platform's list only.
 	Unconfirmed int `json:"unheard"`
-	// Unreachable are the failure domains without contact.
+	// Unreachable lists the failure domains without contact.
 	Unreachable []string `json:"unreachable,omitempty"`
-	// Isolated is set while the node hears no peer at all.
+	// Isolated is set while the node has no contact with any peer.
 	Isolated bool `json:"isolated,omitempty"`
 
-	// pulse is what heartbeats to peers carry.
-	pulse pulse
+	// heartbeat is the content of heartbeats to peers.
+	heartbeat heartbeatState
 }
 
-// newStatus makes the part of the status that the control loop owns. It runs on
-// the control loop each time something happened.
+// newStatus builds the part of the status that the control loop owns. It runs on
+// the control loop after each event.
 func (n *Node) newStatus(now time.Time, view *membership.View) *Status {
 	s := &Status{
 		VM: n.config.Self, Started: n.observer.started,
@@ -70,18 +72,18 @@
 	if s.Applied != previous.Applied {
 		s.AppliedAt = now
 	}
-	s.VersionProblems = n.observer.troubles.all()
-	state, reasons := judgeHealth(healthFacts{
+	s.VersionProblems = n.observer.problems.all()
+	state, reasons := computeHealth(healthInput{
 		stopping: n.stopping.Load(), ready: n.ready.Load(), applied: s.Applied, reported: s.Reported,
-		platform: s.Platform, troubles: s.VersionProblems, appliedAt: s.AppliedAt,
+		platform: s.Platform, problems: s.VersionProblems, appliedAt: s.AppliedAt,
 	})
 	s.Health = previous.Health.next(now, state, reasons)
-	s.pulse = n.newPulse(now)
+	s.heartbeat = n.newHeartbeatState(now)
 	n.observer.observe(n, now, s, view)
 	return s
 }
 
-// Status returns the picture of the node at this moment.
+// Status returns the node's current status.
 func (n *Node) Status() Status {
 	s := *n.status.Load()
 	s.Ready = n.Ready()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,22 +10,23 @@
 	"tamarackquay/internal/wait"
 )
 
-// drainPoll is how often a stopping node looks whether requests still run.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is how often a stopping node checks whether requests still
+// run.
+const drainPollInterval = 20 * time.Millisecond
 
-// lastWordTimeout bounds the wait for peers to take the word that this process
-// ends. Who misses it finds out by itself.
-const lastWordTimeout = 500 * time.Millisecond
+// departureTimeout bounds the wait until peers have received the message that
+// this process ends. Peers that don't receive it detect the end themselves.
+const departureTimeout = 500 * time.Millisecond
 
-// Stop begins a planned stop: peers are told at once and the local target takes
-// no new work. Callers are served for the linger time through other nodes'
-// targets, each answer closing its connection; then new requests are refused as
-// not run. The call returns when what runs has finished, ctx has ended or the
-// drain time is over.
+// Stop performs a planned stop. Peers are notified at once, and the local target
+// accepts no new requests. During the linger time, callers are served through
+// other nodes' targets, and each response closes its connection; after it, new
+// requests are refused as not run. Stop returns when all running requests have
+// finished, ctx has ended or the drain timeout is over.
 //
-// Without the linger time a listener would close while callers still hold idle
-// connections to it, and a filing sent at that moment would be lost with an
-// outcome that its caller can't know.
+// Without the linger time, the listener would close while callers still hold
+// idle connections to it. A request that a caller sends at that moment would be
+// lost with an unknown outcome.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopping.Store(true)
 	n.audit(port.AuditEvent{Kind: port.AuditStopping})
@@ -37,46 +38,47 @@
 	n.closed.Store(true)
 	deadline := n.ports.Clock.Now().Add(n.config.DrainTimeout)
 	for n.running.Load() > 0 && ctx.Err() == nil && n.ports.Clock.Now().Before(deadline) {
-		wait.Sleep(ctx, drainPoll)
+		wait.Sleep(ctx, drainPollInterval)
 	}
-	n.sayGone(ctx)
+	n.sendDeparture(ctx)
 	n.audit(port.AuditEvent{Kind: port.AuditStopped})
 }
 
-// closeWhenStopping tells the other side to use the connection no more.
-func (n *Node) closeWhenStopping(w http.ResponseWriter) {
+// setCloseWhenStopping sets "Connection: close" on responses of a stopping node,
+// so that the client doesn't reuse the connection.
+func (n *Node) setCloseWhenStopping(w http.ResponseWriter) {
 	if n.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// sayGone tells the neighbours that the process ends, so that they stop asking
-// it for anything, and waits until they took it.
-func (n *Node) sayGone(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, lastWordTimeout)
+// sendDeparture notifies the neighbours that the process ends, so that they send
+// it no more requests, and waits until they have received it.
+func (n *Node) sendDeparture(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, departureTimeout)
 	defer cancel()
-	farewell := make(chan membership.GossipRound, 1)
+	departure := make(chan membership.GossipRound, 1)
 	n.post(ctx, func(_ context.Context, now time.Time) {
 		n.table.Depart(now, membership.Gone)
-		farewell <- n.table.DepartureGossip(now)
+		departure <- n.table.DepartureGossip(now)
 	})
 	select {
-	case news := <-farewell:
-		n.tellAll(ctx, news)
+	case round := <-departure:
+		n.sendAll(ctx, round)
 	case <-ctx.Done():
 	}
 }
 
-func (n *Node) tellAll(ctx context.Context, news membership.GossipRound) {
-	message := port.Gossip{From: n.config.Self.ID, Records: news.Records}
-	told := make(chan struct{}, len(news.To))
-	for _, vm := range news.To {
+func (n *Node) sendAll(ctx context.Context, round membership.GossipRound) {
+	message := port.Gossip{From: n.config.Self.ID, Records: round.Records}
+	done := make(chan struct{}, len(round.To))
+	for _, vm := range round.To {
 		n.background.Go(func() {
 			_ = n.ports.Peers.Send(ctx, vm, message)
-			told <- struct{}{}
+			done <- struct{}{}
 		})
 	}
-	for range news.To {
-		<-told
+	for range round.To {
+		<-done
 	}
 }
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -11,8 +11,7 @@
 	"tamarackquay/internal/routing/retry"
 )
 
-// target is what the node knows of one target that it sends to. It is safe for
-// concurrent use.
+// target holds a node's statistics of one target. It is safe for concurrent use.
 type target struct {
 	vm       membership.VM
 	distance routing.Distance
@@ -27,8 +26,8 @@
 	t.stats.Begin(now)
 }
 
-// heard ends the wait for the first byte of an attempt that began at start.
-func (t *target) heard(start time.Time) {
+// endWait ends the wait for the first byte of an attempt that began at start.
+func (t *target) endWait(start time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stats.EndWait(start)
@@ -52,25 +51,25 @@
 	return t.stats.Cost(now, slowStart)
 }
 
-func (t *target) answered(now time.Time, latency time.Duration) {
+func (t *target) recordResponse(now time.Time, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stats.RecordResponse(now, latency)
 }
 
-func (t *target) reported(now time.Time, running int) {
+func (t *target) recordLoad(now time.Time, running int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stats.RecordLoad(now, running)
 }
 
-func (t *target) avoid(now time.Time) {
+func (t *target) backOff(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stats.BackOff(now)
 }
 
-func (t *target) failed() bool {
+func (t *target) recordFailure() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stats.RecordFailure()
@@ -82,8 +81,7 @@
 	t.stats.Eject(now)
 }
 
-// pool is the immutable set of targets of one service, as of one membership
-// view.
+// pool is the immutable set of a service's targets in one membership view.
 type pool struct {
 	list   []membership.VM
 	groups [routing.OtherRegion + 1][]*target
@@ -99,8 +97,8 @@
 	}
 }
 
-// find returns the pool's target on the VM, or nil. A VM that changed in any
-// way, for instance its address, is another target.
+// find returns the pool's target on the VM, or nil. If anything of the VM
+// changed, for instance its address, it is a different target.
 func (p *pool) find(vm membership.VM) *target {
 	for t := range p.all {
 		if t.vm == vm {
@@ -110,22 +108,22 @@
 	return nil
 }
 
-// eject puts a failing target out if enough others stay in.
+// eject ejects a failing target if enough others remain available.
 func (p *pool) eject(now time.Time, failing *target) {
-	total, out := 0, 0
+	total, ejected := 0, 0
 	for t := range p.all {
 		total++
 		if !t.available(now) {
-			out++
+			ejected++
 		}
 	}
-	if routing.MayEject(total, out) {
+	if routing.MayEject(total, ejected) {
 		failing.eject(now)
 	}
 }
 
-// upstreams is one service as the node's requests see it: its targets and its
-// budget for retries. It is safe for concurrent use.
+// upstreams holds the targets and the retry budget of one service. It is safe
+// for concurrent use.
 type upstreams struct {
 	mu     sync.Mutex
 	budget *retry.Budget
@@ -146,11 +144,11 @@
 	return u.budget.Withdraw()
 }
 
-// directory holds the upstreams of each service that requests asked for. It is
-// safe for concurrent use.
+// directory holds the upstreams of each service that was requested. It is safe
+// for concurrent use.
 type directory struct {
-	self  membership.VM
-	place routing.Locality
+	self     membership.VM
+	locality routing.Locality
 
 	mu       sync.RWMutex
 	services map[string]*upstreams
@@ -159,7 +157,7 @@
 func newDirectory(self membership.VM) *directory {
 	return &directory{
 		self:     self,
-		place:    routing.Locality{FailureDomain: self.FailureDomain, Region: self.Region},
+		locality: routing.Locality{FailureDomain: self.FailureDomain, Region: self.Region},
 		services: map[string]*upstreams{},
 	}
 }
@@ -179,9 +177,9 @@
 	return d.services[name]
 }
 
-// targets returns the pool of a service for the view. The control loop
-// publishes a view with every event; the pool is built anew only when the
-// service's own targets have changed.
+// targets returns the pool of a service for the view. The control loop may
+// publish a view with every event; the pool is rebuilt only if the service's own
+// targets have changed.
 func (d *directory) targets(now time.Time, u *upstreams, name string, view *membership.View) *pool {
 	if u.view.Load() == view {
 		return u.pool.Load()
@@ -199,7 +197,7 @@
 
 func (d *directory) newPool(now time.Time, old *pool, list []membership.VM) *pool {
 	p := &pool{list: list}
-	for distance, group := range routing.Groups(d.place, d.self.ID, list) {
+	for distance, group := range routing.Groups(d.locality, d.self.ID, list) {
 		for _, vm := range group {
 			p.groups[distance] = append(p.groups[distance], newTarget(now, old, vm, routing.Distance(distance)))
 		}
@@ -207,8 +205,9 @@
 	return p
 }
 
-// newTarget keeps what is known of a target that was there before. Targets of
-// the first pool are taken for warm: the node is the newcomer, not they.
+// newTarget returns the old pool's target if it has one on the VM, to keep its
+// statistics. Targets of the first pool count as warm: the node itself is new
+// then, not the targets.
 func newTarget(now time.Time, old *pool, vm membership.VM, distance routing.Distance) *target {
 	t := &target{vm: vm, distance: distance}
 	if old == nil {
--- a/internal/node/terms.go
+++ b/internal/node/terms.go
@@ -5,9 +5,9 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// admissionTerms derives the local target's terms from a snapshot: what each
-// contract grants of the service that runs on this VM.
-func admissionTerms(current *snapshot.Snapshot, config Config) admission.Terms {
+// newTerms returns the local target's admission terms from a snapshot: the
+// grants of each contract for the service that runs on this VM.
+func newTerms(current *snapshot.Snapshot, config Config) admission.Terms {
 	terms := admission.Terms{Shares: map[string]admission.Share{}, QueuePerSlot: config.QueuePerSlot}
 	service := current.Service(config.Self.Service)
 	if service == nil {
--- a/internal/node/trail.go
+++ b/internal/node/trail.go
@@ -14,8 +14,8 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// VersionTrouble is a version that this node refused, can't get whole, or found
-// to have been published over another.
+// VersionProblem is a version that this node refused, found incomplete, or found
+// in conflict with another version of the same number.
 type VersionProblem struct {
 	// Kind is port.AuditRefused, port.AuditIncomplete or port.AuditConflict.
 	Kind     port.AuditKind `json:"kind"`
@@ -26,91 +26,91 @@
 	Findings finding.List   `json:"findings"`
 }
 
-// Stands reports whether the node is still without something that an operator
-// meant it to have: the trouble's version is newer than the one in force, or it
-// was a manifest that can't be read, and no version came into force since.
-func (t VersionProblem) Unresolved(applied snapshot.Version, appliedAt time.Time) bool {
-	version, err := snapshot.ParseVersion(t.Version)
+// Unresolved reports whether the node still lacks a version that an operator
+// published: the problem's version is newer than the applied one, or the problem
+// is an unreadable manifest and no version was applied since.
+func (p VersionProblem) Unresolved(applied snapshot.Version, appliedAt time.Time) bool {
+	version, err := snapshot.ParseVersion(p.Version)
 	if err != nil || version.IsZero() {
-		return t.Time.After(appliedAt)
+		return p.Time.After(appliedAt)
 	}
 	return version.NewerThan(applied)
 }
 
-// Subject names what the trouble is with.
-func (t VersionProblem) Subject() string {
-	if version, err := snapshot.ParseVersion(t.Version); err != nil || version.IsZero() {
+// Subject returns the name of the version with the problem.
+func (p VersionProblem) Subject() string {
+	if version, err := snapshot.ParseVersion(p.Version); err != nil || version.IsZero() {
 		return "a manifest that can't be read"
 	}
-	return "version " + t.Version
+	return "version " + p.Version
 }
 
 const (
-	// keptTroubles bounds how many troubles with versions the status shows.
-	keptTroubles = 8
-	// maxNamedMembers bounds the VM ids of one event. A region that is lost
+	// maxVersionProblems bounds the version problems in the status.
+	maxVersionProblems = 8
+	// maxNamedMembers bounds the VM ids in one event. The loss of a region
 	// changes hundreds of members at once; one event that names a few and
-	// counts the rest keeps the rest of the trail in memory.
+	// counts the others doesn't push older events out of the audit trail.
 	maxNamedMembers = 8
-	// refusalPeriod is how often refusals of requests are summed up.
+	// refusalPeriod is the time between two summaries of refused requests.
 	refusalPeriod = time.Minute
 )
 
-// troubleLog is a port.Audit that passes events on and remembers the last
-// troubles with versions. It is safe for concurrent use.
-type troubleLog struct {
+// problemLog is a port.Audit that passes events on and keeps the latest version
+// problems. It is safe for concurrent use.
+type problemLog struct {
 	inner port.Audit
 
 	mu       sync.Mutex
-	troubles []VersionProblem
+	problems []VersionProblem
 }
 
 // Record implements port.Audit.
-func (l *troubleLog) Record(event port.AuditEvent) {
+func (l *problemLog) Record(event port.AuditEvent) {
 	l.inner.Record(event)
 	switch event.Kind {
 	case port.AuditRefused, port.AuditIncomplete, port.AuditConflict:
-		l.remember(VersionProblem{
+		l.add(VersionProblem{
 			Kind: event.Kind, Version: event.Version, Root: event.Root,
 			Time: event.Time, From: event.From, Findings: event.Findings,
 		})
 	}
 }
 
-// remember keeps one entry per kind and content: a missing part is told again
-// each time it is tried.
-func (l *troubleLog) remember(trouble VersionProblem) {
+// add keeps one entry per kind and content: a missing part is reported again
+// with each attempt.
+func (l *problemLog) add(problem VersionProblem) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := slices.DeleteFunc(slices.Clone(l.troubles), func(t VersionProblem) bool {
-		return t.Kind == trouble.Kind && t.Version == trouble.Version && t.Root == trouble.Root
+	kept := slices.DeleteFunc(slices.Clone(l.problems), func(t VersionProblem) bool {
+		return t.Kind == problem.Kind && t.Version == problem.Version && t.Root == problem.Root
 	})
-	kept = append(kept, trouble)
-	l.troubles = kept[max(0, len(kept)-keptTroubles):]
+	kept = append(kept, problem)
+	l.problems = kept[max(0, len(kept)-maxVersionProblems):]
 }
 
-// all returns the troubles, oldest first; callers must not change them.
-func (l *troubleLog) all() []VersionProblem {
+// all returns the version problems, oldest first; callers must not change them.
+func (l *problemLog) all() []VersionProblem {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.troubles
+	return l.problems
 }
 
-// refusalTally sums up refusals of requests, so that the audit trail gets one
-// event per reason and minute instead of one per request. It is safe for
-// concurrent use.
-type refusalTally struct {
+// refusalCounter counts refused requests, so that the audit trail gets one event
+// per reason and minute instead of one per request. It is safe for concurrent
+// use.
+type refusalCounter struct {
 	mu     sync.Mutex
 	since  time.Time
 	counts map[port.Reason]int
 	total  map[port.Reason]int
 }
 
-func newRefusalTally(now time.Time) *refusalTally {
-	return &refusalTally{since: now, counts: map[port.Reason]int{}, total: map[port.Reason]int{}}
+func newRefusalCounter(now time.Time) *refusalCounter {
+	return &refusalCounter{since: now, counts: map[port.Reason]int{}, total: map[port.Reason]int{}}
 }
 
-func (t *refusalTally) add(reason port.Reason) {
+func (t *refusalCounter) add(reason port.Reason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts[reason]++
@@ -118,14 +118,14 @@
 }
 
 // totals returns the refusals since the start, by reason.
-func (t *refusalTally) totals() map[port.Reason]int {
+func (t *refusalCounter) totals() map[port.Reason]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.total)
 }
 
-// due returns the events of a period that is over.
-func (t *refusalTally) due(now time.Time) []port.AuditEvent {
+// due returns the summary events if a period is over.
+func (t *refusalCounter) due(now time.Time) []port.AuditEvent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	period := now.Sub(t.since)
@@ -142,36 +142,37 @@
 	return events
 }
 
-// raisedDetail tells that this node found a higher incarnation of its own VM id.
-const raisedDetail = "raised its incarnation over another process or an earlier start with its VM id"
+// incarnationRaised is the detail of an event after this node found a higher
+// incarnation of its own VM id.
+const incarnationRaised = "raised its incarnation over another process or an earlier start with its VM id"
 
-// memberEvents turns changes of the membership into one event for each way in
-// which members changed, in the order in which the ways first came.
+// memberEvents combines membership changes into one event for each kind of
+// transition, in the order of first occurrence.
 func memberEvents(changes []membership.Change) []port.AuditEvent {
-	moved := map[string][]string{}
-	var ways []string
+	ids := map[string][]string{}
+	var transitions []string
 	for _, change := range changes {
-		way := change.From.String() + " to " + change.To.String()
+		transition := change.From.String() + " to " + change.To.String()
 		if change.From == change.To {
-			// The VM was known from the platform's list alone until now.
-			way = "listed as " + change.To.String() + ", heard now"
+			// The VM was known from the platform's list only until now.
+			transition = "listed as " + change.To.String() + ", heard now"
 		}
 		if change.IncarnationRaised {
-			way = raisedDetail
+			transition = incarnationRaised
 		}
-		if moved[way] == nil {
-			ways = append(ways, way)
+		if ids[transition] == nil {
+			transitions = append(transitions, transition)
 		}
-		moved[way] = append(moved[way], change.VM.ID)
+		ids[transition] = append(ids[transition], change.VM.ID)
 	}
 	var events []port.AuditEvent
-	for _, way := range ways {
-		events = append(events, port.AuditEvent{Kind: port.AuditMemberChanged, Subject: nameSome(moved[way]), Detail: way})
+	for _, transition := range transitions {
+		events = append(events, port.AuditEvent{Kind: port.AuditMemberChanged, Subject: joinIDs(ids[transition]), Detail: transition})
 	}
 	return events
 }
 
-func nameSome(ids []string) string {
+func joinIDs(ids []string) string {
 	slices.Sort(ids)
 	text := strings.Join(ids[:min(len(ids), maxNamedMembers)], " ")
 	if more := len(ids) - maxNamedMembers; more > 0 {
