--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -158,7 +158,7 @@
 
 func distributionConfig(s settings.Settings) distribution.Config {
 	config := distribution.DefaultConfig()
-	config.CrossRegionDelay = s.Platform.Patience.Std()
+	config.CrossRegionDelay = s.Platform.CrossRegionDelay.Std()
 	config.Redundancy = s.Platform.Redundancy
 	return config
 }
--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -132,7 +132,7 @@
 	running.Go(func() { c.follower.Run(ctx) })
 	running.Go(func() { c.tick(ctx) })
 	running.Go(func() { c.watchSettings(ctx, path) })
-	c.log.Info().Str("callers", s.Callers).Int("peers", s.PeerPort).Str(logfield.Service, s.Service).Str(logfield.Target, s.TargetAddress).Msg("started")
+	c.log.Info().Str("callers", s.CallerAddress).Int("peers", s.PeerPort).Str(logfield.Service, s.Service).Str(logfield.Target, s.TargetAddress).Msg("started")
 	err := waitForStop(failed)
 	if err != nil {
 		c.log.Error().Err(err).Msg("a listener failed")
@@ -181,7 +181,7 @@
 	return proxy.Config{
 		Headers: platform.Headers(), FailureDomain: s.FailureDomain, Region: s.Region, Regions: s.Regions,
 		TargetAddress: s.TargetAddress, PeerPort: s.PeerPort,
-		RetryRatio: s.RepeatRatio, RetrySlack: s.RepeatFew, RetryWindow: s.RepeatWindow,
+		RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack, RetryWindow: s.RetryWindow,
 		HalfBytes: options.halfBytes, LinkRate: s.LinkRate,
 		DrainGrace: follow.DrainGrace(inForceWithin(s)), Seed: uint64(time.Now().UnixNano()),
 	}
@@ -190,10 +190,10 @@
 // inForceWithin is the shorter of the platform's bounds for what nodes learn from
 // its store; zero where it names none.
 func inForceWithin(s platform.Settings) time.Duration {
-	if s.DrainWithin == 0 || s.ChangeWithin == 0 {
-		return max(s.DrainWithin, s.ChangeWithin)
+	if s.DrainBound == 0 || s.ApplyBound == 0 {
+		return max(s.DrainBound, s.ApplyBound)
 	}
-	return min(s.DrainWithin, s.ChangeWithin)
+	return min(s.DrainBound, s.ApplyBound)
 }
 
 // feedDialTimeout is long enough for a lost packet to be sent again.
--- a/cmd/tamarackd/sidecar_listen.go
+++ b/cmd/tamarackd/sidecar_listen.go
@@ -41,9 +41,9 @@
 		name, address string
 		run           func(net.Listener) error
 	}{
-		{"callers", s.Callers, c.callers.Run},
+		{"callers", s.CallerAddress, c.callers.Run},
 		{"peers", net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)), c.peerSide.Serve},
-		{"readiness", s.Readiness, (&http.Server{Handler: readiness, ReadHeaderTimeout: readHeaderTimeout}).Serve},
+		{"readiness", s.ReadinessAddress, (&http.Server{Handler: readiness, ReadHeaderTimeout: readHeaderTimeout}).Serve},
 	}
 	for _, server := range servers {
 		listener, err := net.Listen("tcp", server.address)
--- a/internal/adapter/auditlog/filter.go
+++ b/internal/adapter/auditlog/filter.go
@@ -30,7 +30,7 @@
 )
 
 // Takes reports whether the event passes the filter.
-func (f Filter) Takes(event port.AuditEvent) bool {
+func (f Filter) Matches(event port.AuditEvent) bool {
 	if event.Time.Before(f.Since) {
 		return false
 	}
@@ -42,7 +42,7 @@
 
 // Apply returns the events that pass, in their order.
 func (f Filter) Apply(events []port.AuditEvent) []port.AuditEvent {
-	return slices.DeleteFunc(events, func(event port.AuditEvent) bool { return !f.Takes(event) })
+	return slices.DeleteFunc(events, func(event port.AuditEvent) bool { return !f.Matches(event) })
 }
 
 // Query renders the filter for a request to a node.
--- a/internal/adapter/peertls/peertls.go
+++ b/internal/adapter/peertls/peertls.go
@@ -133,7 +133,7 @@
 }
 
 // Name returns the VM id that the other side of a connection has proven.
-func Name(state *tls.ConnectionState) (string, error) {
+func VMID(state *tls.ConnectionState) (string, error) {
 	if state == nil || len(state.PeerCertificates) == 0 || state.PeerCertificates[0].Subject.CommonName == "" {
 		return "", ErrNoName
 	}
--- a/internal/adapter/peerws/client.go
+++ b/internal/adapter/peerws/client.go
@@ -23,7 +23,7 @@
 	// MaxLinks is how many are open at a time. A node talks to eight
 	// neighbours and one VM of each other failure domain; the rest is room for
 	// departures and pulls.
-	MaxLinks = 96
+	MaxClientConnections = 96
 	// pingAfter is the silence after which a link is tried.
 	pingAfter   = 30 * time.Second
 	pingTimeout = 5 * time.Second
@@ -99,7 +99,7 @@
 }
 
 // Open returns how many connections are open.
-func (c *Client) Open() int {
+func (c *Client) NumOpen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.links)
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, errors.Wrap(port.ErrUnreachable, err.Error())
 	}
-	peer, err := peertls.Name(response.TLS)
+	peer, err := peertls.VMID(response.TLS)
 	if err != nil {
 		conn.CloseNow()
 		return nil, errors.Wrap(port.ErrUnreachable, err.Error())
@@ -146,7 +146,7 @@
 // makeRoom closes the link that was idle longest when there are too many; the
 // caller holds mu. Links with open questions stay, so that no answer is cut.
 func (c *Client) makeRoom() {
-	if len(c.links) < MaxLinks {
+	if len(c.links) < MaxClientConnections {
 		return
 	}
 	var oldest string
--- a/internal/adapter/peerws/peerws_test.go
+++ b/internal/adapter/peerws/peerws_test.go
@@ -100,7 +100,7 @@
 	}{
 		{"broken CBOR", []byte{0xff, 0x00}, websocket.StatusUnsupportedData},
 		{"half a message", good[:len(good)/2], websocket.StatusUnsupportedData},
-		{"too large", make([]byte, MaxQuestionBytes+1), websocket.StatusMessageTooBig},
+		{"too large", make([]byte, MaxRequestBytes+1), websocket.StatusMessageTooBig},
 		{"another VM's name", stranger, websocket.StatusPolicyViolation},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
@@ -237,11 +237,11 @@
 	client := f.client("vm-1")
 	_, port, err := net.SplitHostPort(to.PeerAddress)
 	assert.NilError(t, err)
-	for i := range MaxLinks + 5 {
+	for i := range MaxClientConnections + 5 {
 		relay, _ := newRelay(t, net.JoinHostPort("127.0.0.1", port))
 		_, err := client.Request(t.Context(), membership.VM{PeerAddress: relay}, beatOf("vm-1"))
 		assert.NilError(t, err, "peer %d", i)
-		assert.Assert(t, client.Open() <= MaxLinks)
+		assert.Assert(t, client.NumOpen() <= MaxClientConnections)
 	}
 }
 
@@ -255,8 +255,8 @@
 	_, err := client.Request(t.Context(), to, beatOf("vm-1"))
 	assert.NilError(t, err)
 	client.CloseIdle()
-	assert.Equal(t, client.Open(), 1)
+	assert.Equal(t, client.NumOpen(), 1)
 	ahead.Store(int64(IdleTimeout + time.Second))
 	client.CloseIdle()
-	assert.Equal(t, client.Open(), 0)
+	assert.Equal(t, client.NumOpen(), 0)
 }
--- a/internal/adapter/peerws/server.go
+++ b/internal/adapter/peerws/server.go
@@ -24,7 +24,7 @@
 	maxInFlight = 32
 	// MaxQuestionBytes bounds what a peer may send unasked. Answers, which
 	// carry parts, may be as large as MaxMessageBytes.
-	MaxQuestionBytes = 256 << 10
+	MaxRequestBytes = 256 << 10
 	// MaxConnections bounds the peers' connections to one node. Each peer
 	// keeps some twenty open, spread over the fleet.
 	MaxConnections = 512
@@ -52,7 +52,7 @@
 
 // ServeHTTP takes over one connection until it ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	name, err := peertls.Name(r.TLS)
+	name, err := peertls.VMID(r.TLS)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
@@ -68,7 +68,7 @@
 		return
 	}
 	defer conn.CloseNow()
-	conn.SetReadLimit(MaxQuestionBytes)
+	conn.SetReadLimit(MaxRequestBytes)
 	session := &session{server: s, conn: conn, peer: name, room: make(chan struct{}, maxInFlight)}
 	session.serve(r.Context())
 }
--- a/internal/adapter/platformhttp/platformhttp.go
+++ b/internal/adapter/platformhttp/platformhttp.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var list []Listed
+	var list []VMEntry
 	if err := json.Unmarshal(value.Content, &list); err != nil {
 		return nil, errors.Wrap(err, "VM list")
 	}
@@ -87,7 +87,7 @@
 }
 
 // Listed is one VM of the platform's list.
-type Listed struct {
+type VMEntry struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	Region        string `json:"region"`
@@ -97,7 +97,7 @@
 	Departing     bool   `json:"departing"`
 }
 
-func (l *Listed) record() membership.Record {
+func (l *VMEntry) record() membership.Record {
 	state := membership.Live
 	if l.Departing {
 		state = membership.Departing
--- a/internal/adapter/settings/check.go
+++ b/internal/adapter/settings/check.go
@@ -73,7 +73,7 @@
 	c.positive("platform.readers", int64(s.Platform.Readers))
 	c.positive("platform.redundancy", int64(s.Platform.Redundancy))
 	c.notNegative("platform.start_spread", int64(s.Platform.StartSpread))
-	c.notNegative("platform.patience", int64(s.Platform.Patience))
+	c.notNegative("platform.patience", int64(s.Platform.CrossRegionDelay))
 	c.positive("requests.queue_per_slot", int64(s.Requests.QueuePerSlot))
 	c.positive("requests.max_attempts", int64(s.Requests.MaxAttempts))
 	c.positive("requests.max_header_bytes", int64(s.Requests.MaxHeaderBytes))
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -60,7 +60,7 @@
 	// Patience is the policy between convergence time and cross-region bytes:
 	// how long a version overheard from another region waits for a nearer
 	// source. docs/design/distribution.md has its curve.
-	Patience tomlfile.Duration `toml:"patience"`
+	CrossRegionDelay tomlfile.Duration `toml:"patience"`
 	// Redundancy is how many paths lead a version to each node.
 	Redundancy int `toml:"redundancy"`
 }
@@ -97,13 +97,13 @@
 	return Settings{
 		Target: Target{MaxConnections: 100},
 		Platform: Platform{
-			ReadTimeout:  tomlfile.Duration(2 * time.Second),
-			WatchTimeout: tomlfile.Duration(40 * time.Second),
-			ListInterval: tomlfile.Duration(5 * time.Second),
-			Readers:      2,
-			StartSpread:  tomlfile.Duration(4 * time.Second),
-			Patience:     tomlfile.Duration(time.Second),
-			Redundancy:   2,
+			ReadTimeout:      tomlfile.Duration(2 * time.Second),
+			WatchTimeout:     tomlfile.Duration(40 * time.Second),
+			ListInterval:     tomlfile.Duration(5 * time.Second),
+			Readers:          2,
+			StartSpread:      tomlfile.Duration(4 * time.Second),
+			CrossRegionDelay: tomlfile.Duration(time.Second),
+			Redundancy:       2,
 		},
 		Peers: Peers{
 			Heartbeat:    tomlfile.Duration(time.Second),
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -16,7 +16,7 @@
 
 // MaxFaults bounds how many faults one file reports; past it the file is
 // reported as it stands.
-const MaxFaults = 100
+const MaxFindings = 100
 
 // Duration is a time.Duration written as text in TOML ("250ms", "15s").
 type Duration time.Duration
@@ -46,7 +46,7 @@
 	index := indexOf(source)
 	text := bytes.Clone(source)
 	found := takeOutBadTimes(file, index, text, target)
-	for len(found) < MaxFaults {
+	for len(found) < MaxFindings {
 		err := decodeStrict(text, target)
 		if err == nil {
 			break
--- a/standin/platform/admin.go
+++ b/standin/platform/admin.go
@@ -32,7 +32,7 @@
 }
 
 func (p *Platform) putVMs(c echo.Context) error {
-	var vms []platformhttp.Listed
+	var vms []platformhttp.VMEntry
 	if err := c.Bind(&vms); err != nil {
 		return err
 	}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -63,7 +63,7 @@
 	frozen   map[string]value
 	revision uint64
 	changed  chan struct{}
-	vms      []platformhttp.Listed
+	vms      []platformhttp.VMEntry
 }
 
 // New returns an empty platform.
@@ -118,7 +118,7 @@
 }
 
 // SetVMs changes the VM list, after the lag that the mode sets.
-func (p *Platform) SetVMs(vms []platformhttp.Listed) {
+func (p *Platform) SetVMs(vms []platformhttp.VMEntry) {
 	p.mu.Lock()
 	lag := time.Duration(p.mode.ListLagMS) * time.Millisecond
 	p.mu.Unlock()
--- a/test/process/fleet_test.go
+++ b/test/process/fleet_test.go
@@ -206,10 +206,10 @@
 }
 
 func (f *fleet) publishVMs() {
-	var list []platformhttp.Listed
+	var list []platformhttp.VMEntry
 	for _, id := range f.order {
 		v := f.nodes[id]
-		list = append(list, platformhttp.Listed{
+		list = append(list, platformhttp.VMEntry{
 			ID: id, FailureDomain: v.spec.domain, Region: v.spec.region, Service: v.spec.service,
 			PeerAddress: v.peers, CallerAddress: v.callers,
 		})
