--- a/internal/adapter/feedws/codec.go
+++ b/internal/adapter/feedws/codec.go
@@ -13,34 +13,37 @@
 	"tamarackquay/internal/quarantine"
 )
 
-// message is one update or one notice as it is sent. A change of the configuration is compressed
-// apart from the rest: sent plain to every follower, a large one fills a small link
-// until the feeds time out.
+// message is the wire format of an update or a notice. A configuration change is
+// compressed separately from the rest of its update: sent uncompressed to every follower,
+// a large change would fill a small link until the feeds time out.
 type message struct {
 	Update *mesh.Update `cbor:"n"`
-	// Notice is set in place of an update.
+	// Notice is set instead of Update if the message is a notice.
 	Notice *quarantine.Notice `cbor:"q,omitempty"`
-	// Config is the compressed CBOR of a mesh.ConfigDelta; empty for none.
+	// Config is a compressed mesh.ConfigDelta in CBOR. It is empty if the update has none.
 	Config []byte `cbor:"c,omitempty"`
 }
 
-// keptDeltas is how many compressed deltas and parts of them are kept: followers ask for a
-// change at about the same time, and a storm of changes has a few at a time.
-const keptDeltas = 48
+// maxCachedDeltas is the maximum number of compressed deltas and delta parts in the cache.
+// Followers request a change at about the same time, and even a burst of changes has only
+// a few deltas in use at a time.
+const maxCachedDeltas = 48
 
-// encoder makes messages. It compresses a delta once for all followers. It is
-// safe for concurrent use.
+// encoder encodes messages. It compresses each delta once for all followers. It is safe
+// for concurrent use.
 type encoder struct {
-	mu   sync.Mutex
-	kept []encodedDelta
+	mu    sync.Mutex
+	cache []encodedDelta
 }
 
-// encodedDelta is a delta, or a part of one, by what says all that it holds.
+// encodedDelta is a compressed delta, or a part of one.
 type encodedDelta struct {
-	of  deltaID
+	id  deltaID
 	raw []byte
 }
 
+// deltaID identifies a delta or a part of one. Deltas with the same id have the same
+// content.
 type deltaID struct {
 	base, version uint64
 	part, parts   int
@@ -49,11 +52,11 @@
 func (e *encoder) encode(update *mesh.Update) ([]byte, error) {
 	m := message{Update: update}
 	if update.Config != nil {
-		bare := *update
-		bare.Config = nil
-		m.Update = &bare
+		withoutConfig := *update
+		withoutConfig.Config = nil
+		m.Update = &withoutConfig
 		var err error
-		if m.Config, err = e.delta(update.Config); err != nil {
+		if m.Config, err = e.encodeDelta(update.Config); err != nil {
 			return nil, err
 		}
 	}
@@ -61,14 +64,15 @@
 	return raw, errors.Wrap(err, "encode update")
 }
 
-// delta holds the mutex while it compresses, so that followers who want the same
-// delta wait for it.
-func (e *encoder) delta(d *mesh.ConfigDelta) ([]byte, error) {
+// encodeDelta returns the compressed delta from the cache, or compresses and caches it. It
+// holds the mutex during compression, so that feeds that need the same delta wait for the
+// result instead of compressing it again.
+func (e *encoder) encodeDelta(d *mesh.ConfigDelta) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := deltaID{d.Base, d.Version, d.Part, d.Parts}
-	for _, kept := range e.kept {
-		if kept.of == id {
+	for _, kept := range e.cache {
+		if kept.id == id {
 			return kept.raw, nil
 		}
 	}
@@ -76,16 +80,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(e.kept) == keptDeltas {
-		e.kept = e.kept[1:]
+	if len(e.cache) == maxCachedDeltas {
+		e.cache = e.cache[1:]
 	}
-	e.kept = append(e.kept, encodedDelta{of: id, raw: raw})
+	e.cache = append(e.cache, encodedDelta{id: id, raw: raw})
 	return raw, nil
 }
 
 func compress(d *mesh.ConfigDelta) ([]byte, error) {
-	var packed bytes.Buffer
-	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, errors.Wrap(err, "compress update")
 	}
@@ -95,7 +99,7 @@
 	if err := writer.Close(); err != nil {
 		return nil, errors.Wrap(err, "compress update")
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
 func encodeNotice(notice *quarantine.Notice) ([]byte, error) {
@@ -103,7 +107,8 @@
 	return raw, errors.Wrap(err, "encode notice")
 }
 
-// decode reads what encode or encodeNotice wrote; one of its results is set.
+// decode decodes a message of encode or encodeNotice. It returns either an update or a
+// notice.
 func decode(raw []byte) (*mesh.Update, *quarantine.Notice, error) {
 	var m message
 	if err := decoder.Unmarshal(raw, &m); err != nil {
@@ -112,14 +117,14 @@
 	if m.Notice != nil {
 		return nil, m.Notice, nil
 	}
-	update, err := m.update()
+	update, err := m.decodeUpdate()
 	return update, nil, err
 }
 
-// update returns the update with its configuration.
-func (m *message) update() (*mesh.Update, error) {
+// decodeUpdate returns the update with its decompressed configuration delta.
+func (m *message) decodeUpdate() (*mesh.Update, error) {
 	if m.Update == nil {
-		return nil, errors.New("decode update: none")
+		return nil, errors.New("decode message: neither an update nor a notice")
 	}
 	if len(m.Config) == 0 {
 		return m.Update, nil
@@ -129,13 +134,14 @@
 		return nil, errors.Wrap(err, "decompress configuration")
 	}
 	if len(plain) > maxUpdate {
-		return nil, errors.Errorf("decompress configuration: over %d bytes", maxUpdate)
+		return nil, errors.Errorf("decompress configuration: larger than %d bytes", maxUpdate)
 	}
 	m.Update.Config = &mesh.ConfigDelta{}
 	return m.Update, errors.Wrap(decoder.Unmarshal(plain, m.Update.Config), "decode configuration")
 }
 
-// decoder bounds what a broken neighbour can make this node hold.
+// decoder limits the memory that a broken neighbour's message can make this node
+// allocate.
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 64, MaxNestedLevels: 12}.DecMode()
 	if err != nil {
--- a/internal/adapter/feedws/feedws.go
+++ b/internal/adapter/feedws/feedws.go
@@ -1,5 +1,6 @@
-// Package feedws carries the updates of one node to another as CBOR over a
-// WebSocket. The follower opens the connection; updates flow one way, and notices both.
+// Package feedws sends updates and crash notices between nodes as CBOR over a WebSocket.
+// The follower opens the connection. Updates are sent to the follower only, notices in
+// both directions.
 package feedws
 
 import (
@@ -19,43 +20,46 @@
 	"tamarackquay/internal/wait"
 )
 
-// Path is where nodes open a feed.
+// Path is the URL path at which nodes open feeds.
 const Path = "/peer/feed"
 
-// Parameters of a request for a feed: the version of the configuration that the follower
-// holds, and the platform's counter up to which it holds every change.
+// Query parameters of a request for a feed: the follower's configuration version, and the
+// revision of the platform's store up to which the follower has all changes.
 const (
 	paramVersion  = "version"
 	paramRevision = "revision"
 )
 
 const (
-	// maxUpdate bounds one update: a whole configuration of some ten
-	// thousand routes.
+	// maxUpdate limits the bytes of an update, compressed and uncompressed. It is enough for
+	// a complete configuration of about ten thousand routes.
 	maxUpdate = 8 << 20
-	// silence ends a feed on which no byte comes; its heartbeats come several times
-	// as often. Each byte counts: a feed that timed out within a large update would
-	// ask for the whole of it again, over a link that is full already.
-	silence = 1200 * time.Millisecond
-	// writeTimeout ends a feed whose follower doesn't read.
+	// idleTimeout ends a feed on which no byte arrives; heartbeats are sent several times
+	// within it. Every byte resets the timeout, not only a complete message: a feed that
+	// timed out during a large update would request the complete update again, over a
+	// link that is already full.
+	idleTimeout = 1200 * time.Millisecond
+	// writeTimeout ends a feed whose other side doesn't read.
 	writeTimeout = 3 * time.Second
-	// maxNotice bounds what a follower sends.
+	// maxNotice limits the bytes of a message from a follower; followers send only notices.
 	maxNotice = 256 << 10
-	// openTimeout bounds the opening of a feed.
+	// openTimeout limits the time to open a feed.
 	openTimeout = time.Second
 )
 
-// Source hands out updates.
+// Source provides the updates that a handler serves. Serve calls send with each update that
+// the follower on a host lacks, starting from the follower's checkpoint, until ctx ends or
+// send fails.
 type Source interface {
 	Serve(ctx context.Context, host string, held mesh.Checkpoint, send func(*mesh.Update) error) error
 }
 
-// NewHandler serves feeds of the source, and exchanges notices with who follows. Sent is
-// told of the bytes that go out.
-func NewHandler(source Source, notices follow.Notices, sent func(bytes int)) http.Handler {
+// NewHandler returns a handler that serves the source's updates to followers and exchanges
+// notices with them. It calls countSent with the size of each sent message.
+func NewHandler(source Source, notices follow.Notices, countSent func(bytes int)) http.Handler {
 	encoder := &encoder{}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		held, err := decodeHeld(r.URL.Query())
+		held, err := decodeCheckpoint(r.URL.Query())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -67,32 +71,32 @@
 		defer conn.CloseNow()
 		conn.SetReadLimit(maxNotice)
 		feed := notices.NewFeed()
-		// The read ends when the follower has gone.
+		// receiveNotices returns when the follower has disconnected.
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		go func() {
 			defer cancel()
-			takeNotices(ctx, conn, notices, feed)
+			receiveNotices(ctx, conn, notices, feed)
 		}()
-		go sendNotices(ctx, conn, notices, feed, sent)
+		go sendNotices(ctx, conn, notices, feed, countSent)
 		err = source.Serve(ctx, follow.HostOf(r.RemoteAddr), held, func(update *mesh.Update) error {
 			raw, err := encoder.encode(update)
 			if err != nil {
 				return err
 			}
-			sent(len(raw))
+			countSent(len(raw))
 			return write(ctx, conn, raw)
 		})
 		if err != nil && ctx.Err() == nil {
-			// The follower sees the end and opens another feed.
+			// The follower opens another feed when this one is closed.
 			_ = conn.Close(websocket.StatusGoingAway, "")
 		}
 	})
 }
 
-// takeNotices reads a follower's notices until the connection ends. What can't be read ends
-// it; the follower then opens another feed.
-func takeNotices(ctx context.Context, conn *websocket.Conn, notices follow.Notices, from quarantine.Feed) {
+// receiveNotices reads a follower's notices until the connection ends. It closes the
+// connection on a message that isn't a valid notice; the follower then opens another feed.
+func receiveNotices(ctx context.Context, conn *websocket.Conn, notices follow.Notices, from quarantine.Feed) {
 	for {
 		_, raw, err := conn.Read(ctx)
 		if err != nil {
@@ -100,7 +104,7 @@
 		}
 		_, notice, err := decode(raw)
 		if err != nil || notice == nil {
-			// The follower logs the reason.
+			// The follower logs this close reason.
 			_ = conn.Close(websocket.StatusInvalidFramePayloadData, "no notice that can be read")
 			return
 		}
@@ -108,27 +112,27 @@
 	}
 }
 
-// sendNotices sends a neighbour what it lacks until the connection ends, which its reader
-// sees.
-func sendNotices(ctx context.Context, conn *websocket.Conn, notices follow.Notices, to quarantine.Feed, sent func(bytes int)) {
+// sendNotices sends the notices that a neighbour lacks until the connection ends. Its error
+// is ignored: the goroutine that reads from the connection detects a broken connection.
+func sendNotices(ctx context.Context, conn *websocket.Conn, notices follow.Notices, to quarantine.Feed, countSent func(bytes int)) {
 	_ = follow.SendNotices(ctx, notices, to, func(notice *quarantine.Notice) error {
 		raw, err := encodeNotice(notice)
 		if err != nil {
 			return err
 		}
-		sent(len(raw))
+		countSent(len(raw))
 		return write(ctx, conn, raw)
 	})
 }
 
-func encodeHeld(held mesh.Checkpoint) url.Values {
+func encodeCheckpoint(held mesh.Checkpoint) url.Values {
 	return url.Values{
 		paramVersion:  {strconv.FormatUint(held.Version, 10)},
 		paramRevision: {strconv.FormatUint(held.Revision, 10)},
 	}
 }
 
-func decodeHeld(query url.Values) (mesh.Checkpoint, error) {
+func decodeCheckpoint(query url.Values) (mesh.Checkpoint, error) {
 	version, err := strconv.ParseUint(query.Get(paramVersion), 10, 64)
 	if err != nil {
 		return mesh.Checkpoint{}, errors.Wrap(err, paramVersion)
@@ -143,19 +147,19 @@
 	return conn.Write(ctx, websocket.MessageBinary, raw)
 }
 
-// Client implements follow.Feed.
+// Client opens feeds from other nodes. It implements follow.Feed.
 type Client struct {
-	http    *http.Client
-	notices follow.Notices
-	sent    func(bytes int)
+	http      *http.Client
+	notices   follow.Notices
+	countSent func(bytes int)
 }
 
 var _ follow.Feed = (*Client)(nil)
 
-// NewClient returns a client that opens its connections with the transport, and exchanges
-// notices with whom it follows. Sent is told of the bytes that go out.
-func NewClient(transport *http.Transport, notices follow.Notices, sent func(bytes int)) *Client {
-	return &Client{http: &http.Client{Transport: transport}, notices: notices, sent: sent}
+// NewClient returns a client that opens connections with the transport and exchanges notices
+// with the nodes that it follows. It calls countSent with the size of each sent message.
+func NewClient(transport *http.Transport, notices follow.Notices, countSent func(bytes int)) *Client {
+	return &Client{http: &http.Client{Transport: transport}, notices: notices, countSent: countSent}
 }
 
 // Follow implements follow.Feed.
@@ -169,7 +173,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	feed := c.notices.NewFeed()
-	go sendNotices(ctx, conn, c.notices, feed, c.sent)
+	go sendNotices(ctx, conn, c.notices, feed, c.countSent)
 	for {
 		update, notice, err := read(ctx, conn)
 		if err != nil {
@@ -188,34 +192,34 @@
 func (c *Client) open(ctx context.Context, address string, held mesh.Checkpoint) (*websocket.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
-	address = "ws://" + address + Path + "?" + encodeHeld(held).Encode()
+	address = "ws://" + address + Path + "?" + encodeCheckpoint(held).Encode()
 	conn, _, err := websocket.Dial(ctx, address, &websocket.DialOptions{HTTPClient: c.http})
 	return conn, errors.Wrap(err, "open feed")
 }
 
-// read returns the next update or notice.
+// read returns the next update or notice, or errIdle if no byte arrives for idleTimeout.
 func read(ctx context.Context, conn *websocket.Conn) (*mesh.Update, *quarantine.Notice, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silent := time.AfterFunc(silence, func() { cancel(errSilent) })
-	defer silent.Stop()
+	timer := time.AfterFunc(idleTimeout, func() { cancel(errIdle) })
+	defer timer.Stop()
 	_, reader, err := conn.Reader(ctx)
 	if err != nil {
-		return nil, nil, causeOf(ctx, err)
+		return nil, nil, readError(ctx, err)
 	}
-	raw, err := io.ReadAll(&wait.IdleReader{Source: reader, Timer: silent, IdleTimeout: silence})
+	raw, err := io.ReadAll(&wait.IdleReader{Source: reader, Timer: timer, IdleTimeout: idleTimeout})
 	if err != nil {
-		return nil, nil, causeOf(ctx, err)
+		return nil, nil, readError(ctx, err)
 	}
 	return decode(raw)
 }
 
-var errSilent = errors.New("the feed went silent")
+var errIdle = errors.New("feed timed out: no data received")
 
-// causeOf tells silence from other ends of a feed.
-func causeOf(ctx context.Context, err error) error {
-	if context.Cause(ctx) == errSilent {
-		return errSilent
+// readError returns errIdle if the idle timeout ended the feed, and err otherwise.
+func readError(ctx context.Context, err error) error {
+	if context.Cause(ctx) == errIdle {
+		return errIdle
 	}
 	return err
 }
--- a/internal/adapter/feedws/feedws_test.go
+++ b/internal/adapter/feedws/feedws_test.go
@@ -19,8 +19,8 @@
 	"tamarackquay/internal/quarantine"
 )
 
-// routes makes so many routes with names that have nothing in common.
-func routes(count int) []mesh.Route {
+// makeRoutes returns routes with random names, which compress poorly.
+func makeRoutes(count int) []mesh.Route {
 	random := rand.New(rand.NewPCG(1, 1))
 	var made []mesh.Route
 	for i := range count {
@@ -35,13 +35,13 @@
 
 func TestUpdatesComeThrough(t *testing.T) {
 	targets := []mesh.Target{{ID: "t", Service: "s", Address: "10.0.0.1:1", State: mesh.Ready, Revision: 7}}
-	delta := mesh.Diff(nil, &mesh.Config{Version: 3, Routes: routes(2), Limits: mesh.Limits{HeaderBytes: 5}})
+	delta := mesh.Diff(nil, &mesh.Config{Version: 3, Routes: makeRoutes(2), Limits: mesh.Limits{HeaderBytes: 5}})
 	for _, test := range []struct {
 		desc   string
 		update mesh.Update
 	}{
-		{"a beat", mesh.Update{Age: time.Second, RTT: time.Millisecond}},
-		{"of a view that was never current", mesh.Update{Age: -1}},
+		{"a heartbeat", mesh.Update{Age: time.Second, RTT: time.Millisecond}},
+		{"an update of a view that was never current", mesh.Update{Age: -1}},
 		{"targets", mesh.Update{Targets: targets, Removed: []mesh.Removal{{ID: "u", Revision: 6}}}},
 		{"a configuration", mesh.Update{Config: delta, Targets: targets}},
 	} {
@@ -55,10 +55,12 @@
 	}
 }
 
-// A thousand routes are added, and all followers of a node want them at once. Each
-// gets a tenth of the bytes, which are compressed once.
+// Guards against sending a large change uncompressed, and against compressing it again for
+// each follower: a thousand routes are added, and all followers of a node request them at
+// about the same time. Each receives about a tenth of the uncompressed bytes, and they are
+// compressed once.
 func TestLargeChangesAreCompressedOnce(t *testing.T) {
-	update := &mesh.Update{Config: mesh.Diff(nil, &mesh.Config{Version: 3, Routes: routes(1000)})}
+	update := &mesh.Update{Config: mesh.Diff(nil, &mesh.Config{Version: 3, Routes: makeRoutes(1000)})}
 	plain, err := cbor.Marshal(update)
 	assert.NilError(t, err)
 	e := &encoder{}
@@ -67,12 +69,12 @@
 	assert.Assert(t, len(first)*5 < len(plain), "%d of %d bytes", len(first), len(plain))
 	_, err = e.encode(update)
 	assert.NilError(t, err)
-	assert.Equal(t, len(e.kept), 1)
-	for version := range uint64(keptDeltas + 10) {
+	assert.Equal(t, len(e.cache), 1)
+	for version := range uint64(maxCachedDeltas + 10) {
 		_, err := e.encode(&mesh.Update{Config: &mesh.ConfigDelta{Base: version, Version: version + 10}})
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(e.kept), keptDeltas)
+	assert.Equal(t, len(e.cache), maxCachedDeltas)
 }
 
 func TestBrokenMessagesAreRefused(t *testing.T) {
@@ -85,7 +87,7 @@
 		{"no message", "text"},
 		{"no update", message{}},
 		{"bytes that aren't compressed", message{Update: &mesh.Update{}, Config: []byte{1, 2, 3}}},
-		{"a configuration that grows beyond all bounds", message{Update: &mesh.Update{}, Config: bomb}},
+		{"a configuration larger than maxUpdate when decompressed", message{Update: &mesh.Update{}, Config: bomb}},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			raw, err := cbor.Marshal(test.m)
@@ -96,8 +98,8 @@
 	}
 }
 
-// slowListener is a server's side of a link that is full: its connections write a
-// few bytes at a time.
+// slowListener simulates the server's side of a congested link: its connections write a few
+// bytes at a time.
 type slowListener struct{ net.Listener }
 
 func (l slowListener) Accept() (net.Conn, error) {
@@ -107,12 +109,12 @@
 
 type slowConn struct{ net.Conn }
 
-const slowBytes, slowPause = 2 << 10, silence / 8
+const slowChunkBytes, slowPause = 2 << 10, idleTimeout / 8
 
 func (c slowConn) Write(b []byte) (int, error) {
 	written := 0
 	for written < len(b) {
-		n, err := c.Conn.Write(b[written:min(written+slowBytes, len(b))])
+		n, err := c.Conn.Write(b[written:min(written+slowChunkBytes, len(b))])
 		written += n
 		if err != nil {
 			return written, err
@@ -122,10 +124,10 @@
 	return written, nil
 }
 
-// sourceOf hands out an update once and then nothing.
-type sourceOf struct{ update *mesh.Update }
+// singleUpdateSource sends one update to each follower and then nothing.
+type singleUpdateSource struct{ update *mesh.Update }
 
-func (s sourceOf) Serve(ctx context.Context, _ string, _ mesh.Checkpoint, send func(*mesh.Update) error) error {
+func (s singleUpdateSource) Serve(ctx context.Context, _ string, _ mesh.Checkpoint, send func(*mesh.Update) error) error {
 	if err := send(s.update); err != nil {
 		return err
 	}
@@ -133,9 +135,9 @@
 	return ctx.Err()
 }
 
-func serveFeed(t *testing.T, listener net.Listener, source Source, sent func(int)) {
+func serveFeed(t *testing.T, listener net.Listener, source Source, countSent func(int)) {
 	t.Helper()
-	server := httptest.NewUnstartedServer(NewHandler(source, quarantine.NewSharedLedger(wallClock{}), sent))
+	server := httptest.NewUnstartedServer(NewHandler(source, quarantine.NewSharedLedger(wallClock{}), countSent))
 	server.Listener = listener
 	server.Start()
 	t.Cleanup(server.Close)
@@ -149,37 +151,39 @@
 	return NewClient(&http.Transport{}, quarantine.NewSharedLedger(wallClock{}), func(int) {})
 }
 
-var errTaken = errors.New("taken")
+var errStop = errors.New("update received")
 
-// A large change comes over a link that is nearly full, for longer than a feed may
-// be silent. The follower takes it whole: its bytes are signs of life.
+// Guards against an idle timeout during a large update: on a congested link its transfer
+// takes longer than idleTimeout. Each received byte must reset the timeout.
 func TestSlowMessageIsNoSilence(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	sent := 0
-	update := &mesh.Update{Config: mesh.Diff(nil, &mesh.Config{Version: 3, Routes: routes(2500)})}
-	serveFeed(t, slowListener{listener}, sourceOf{update}, func(bytes int) { sent += bytes })
+	update := &mesh.Update{Config: mesh.Diff(nil, &mesh.Config{Version: 3, Routes: makeRoutes(2500)})}
+	serveFeed(t, slowListener{listener}, singleUpdateSource{update}, func(bytes int) { sent += bytes })
 	client := newClient()
 	begin := time.Now()
 	err = client.Follow(context.Background(), listener.Addr().String(), mesh.Checkpoint{}, func(got *mesh.Update) error {
 		assert.Equal(t, len(got.Config.Changed), 2500)
-		return errTaken
+		return errStop
 	})
-	assert.Equal(t, err, errTaken)
-	assert.Assert(t, time.Since(begin) > silence, "the link was not slow")
-	assert.Assert(t, sent > 8*slowBytes, "%d bytes told", sent)
+	assert.Equal(t, err, errStop)
+	assert.Assert(t, time.Since(begin) > idleTimeout, "the link was not slow")
+	assert.Assert(t, sent > 8*slowChunkBytes, "%d bytes counted", sent)
 }
 
-// The node that is followed hangs. The follower learns it and can look elsewhere.
-func TestSilentFeedEnds(t *testing.T) {
+// Guards against a follower that stays with an unresponsive node: the followed node keeps the
+// connection open but sends nothing. The feed must time out, so that the follower can open
+// one from another node.
+func TestIdleFeedEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	serveFeed(t, listener, sourceOf{&mesh.Update{}}, func(int) {})
+	serveFeed(t, listener, singleUpdateSource{&mesh.Update{}}, func(int) {})
 	taken := 0
 	err = newClient().Follow(context.Background(), listener.Addr().String(), mesh.Checkpoint{}, func(*mesh.Update) error {
 		taken++
 		return nil
 	})
-	assert.Equal(t, err, errSilent)
+	assert.Equal(t, err, errIdle)
 	assert.Equal(t, taken, 1)
 }
--- a/internal/adapter/feedws/notices_test.go
+++ b/internal/adapter/feedws/notices_test.go
@@ -18,53 +18,53 @@
 
 const poison = quarantine.Fingerprint(7)
 
-func crashed(crashes *quarantine.SharedLedger, ids ...uint64) {
+func recordCrashes(crashes *quarantine.SharedLedger, ids ...uint64) {
 	for _, id := range ids {
 		crashes.RecordCrash(quarantine.Crash{ID: id, Answered: true, Suspects: []quarantine.Fingerprint{poison}})
 	}
 }
 
-// Guards against crashes that only go down a feed, or only up: a node that nobody follows
-// sees one as well.
+// Guards against notices that are sent in one direction of a feed only: a node without
+// followers must also be able to report crashes to the node that it follows.
 func TestNoticesGoBothWays(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	above, below := quarantine.NewSharedLedger(wallClock{}), quarantine.NewSharedLedger(wallClock{})
+	serverLedger, clientLedger := quarantine.NewSharedLedger(wallClock{}), quarantine.NewSharedLedger(wallClock{})
 	var mu sync.Mutex
 	bytes := 0
-	sent := func(count int) {
+	countSent := func(count int) {
 		mu.Lock()
 		defer mu.Unlock()
 		bytes += count
 	}
-	server := NewHandler(sourceOf{&mesh.Update{}}, above, func(int) {})
+	server := NewHandler(singleUpdateSource{&mesh.Update{}}, serverLedger, func(int) {})
 	go http.Serve(listener, server)
 	defer listener.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		client := NewClient(&http.Transport{}, below, sent)
+		client := NewClient(&http.Transport{}, clientLedger, countSent)
 		_ = client.Follow(ctx, listener.Addr().String(), mesh.Checkpoint{}, func(*mesh.Update) error { return nil })
 	}()
-	crashed(above, 1, 2)
-	crashed(below, 3)
+	recordCrashes(serverLedger, 1, 2)
+	recordCrashes(clientLedger, 3)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if above.BlockRemaining(poison) > 0 && below.BlockRemaining(poison) > 0 {
+		if serverLedger.BlockRemaining(poison) > 0 && clientLedger.BlockRemaining(poison) > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("not both know")
+		return poll.Continue("not both nodes have the notices")
 	})
 	mu.Lock()
 	defer mu.Unlock()
 	assert.Assert(t, bytes > 0)
 }
 
-// Guards against crashes that don't pass from one follower to another which has the same
-// address, as behind a relay.
+// Guards against notices that are not forwarded from one follower to another one with the
+// same address, as seen behind a relay.
 func TestNoticesPassBetweenFollowers(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	go http.Serve(listener, NewHandler(sourceOf{&mesh.Update{}}, quarantine.NewSharedLedger(wallClock{}), func(int) {}))
+	go http.Serve(listener, NewHandler(singleUpdateSource{&mesh.Update{}}, quarantine.NewSharedLedger(wallClock{}), func(int) {}))
 	defer listener.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -75,29 +75,30 @@
 			_ = client.Follow(ctx, listener.Addr().String(), mesh.Checkpoint{}, func(*mesh.Update) error { return nil })
 		}()
 	}
-	crashed(followers[0], 1, 2, 3)
+	recordCrashes(followers[0], 1, 2, 3)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if followers[1].BlockRemaining(poison) > 0 {
 			return poll.Success()
 		}
-		return poll.Continue("the other follower doesn't know")
+		return poll.Continue("the other follower has not received the notices")
 	})
 }
 
-// Guards against a follower that sends what nobody can read, or too much.
+// Guards against keeping a feed open after the follower sent a message that can't be decoded,
+// contains no notice, or is too large.
 func TestBrokenNoticeEndsTheFeed(t *testing.T) {
 	for _, test := range []struct {
 		desc string
 		raw  []byte
 	}{
-		{"no CBOR", []byte("x")},
+		{"invalid CBOR", []byte("x")},
 		{"no notice", []byte{0xa0}},
 		{"too much", make([]byte, maxNotice+1)},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			assert.NilError(t, err)
-			serveFeed(t, listener, sourceOf{&mesh.Update{}}, func(int) {})
+			serveFeed(t, listener, singleUpdateSource{&mesh.Update{}}, func(int) {})
 			ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 			defer stop()
 			conn, err := newClient().open(ctx, listener.Addr().String(), mesh.Checkpoint{})
@@ -107,7 +108,7 @@
 			for err == nil {
 				_, _, err = conn.Read(ctx)
 			}
-			assert.NilError(t, ctx.Err(), "the feed goes on")
+			assert.NilError(t, ctx.Err(), "the feed was not closed")
 		})
 	}
 }
