--- a/internal/adapter/peerws/client.go
+++ b/internal/adapter/peerws/client.go
@@ -14,112 +14,113 @@
 	"tamarackquay/internal/port"
 )
 
-// Bounds of the connections that a node opens.
+// Limits of the connections that a node opens.
 const (
-	// IdleTimeout is how long a connection without messages is kept. In a
-	// large fleet a node talks to each other domain about once a minute, and a
-	// new TLS connection costs as much as thirty messages.
+	// IdleTimeout is how long a connection without messages stays open. In a large fleet a
+	// node sends a message to each other domain about once a minute, and a new TLS
+	// connection costs as much as thirty messages.
 	IdleTimeout = 3 * time.Minute
-	// MaxLinks is how many are open at a time. A node talks to eight
-	// neighbours and one VM of each other failure domain; the rest is room for
-	// departures and pulls.
+	// MaxClientConnections is the maximum number of open connections. A node communicates
+	// with eight neighbours and one VM of each other failure domain; the rest is reserved
+	// for departures and pulls.
 	MaxClientConnections = 96
-	// pingAfter is the silence after which a link is tried.
+	// pingAfter is the time without a received message after which a connection is pinged.
 	pingAfter   = 30 * time.Second
 	pingTimeout = 5 * time.Second
 )
 
-// Client implements port.Peers with one connection per peer, opened on first
-// use.
+// Client sends messages to peers. It implements port.Peers with one connection per peer,
+// opened on first use.
 type Client struct {
 	http *http.Client
 	now  func() time.Time
 
 	mu    sync.Mutex
-	links map[string]*link
+	conns map[string]*clientConn
 }
 
 var _ port.Peers = (*Client)(nil)
 
-// NewClient returns a client that proves itself with the TLS configuration.
+// NewClient returns a client that authenticates itself with the TLS configuration.
 func NewClient(tls *peertls.Config, now func() time.Time) *Client {
 	transport := &http.Transport{TLSClientConfig: tls.Client}
-	return &Client{http: &http.Client{Transport: transport}, now: now, links: map[string]*link{}}
+	return &Client{http: &http.Client{Transport: transport}, now: now, conns: map[string]*clientConn{}}
 }
 
-// NewCountingClient returns a client whose connections' bytes the meter counts,
-// both ways, as port.MetricControlBytes.
+// NewCountingClient returns a client that counts the sent and received bytes of its
+// connections in port.MetricControlBytes.
 func NewCountingClient(tls *peertls.Config, now func() time.Time, meter port.Meter) *Client {
 	c := NewClient(tls, now)
-	c.http.Transport = &http.Transport{TLSClientConfig: tls.Client, DialContext: dialCounted(meter)}
+	c.http.Transport = &http.Transport{TLSClientConfig: tls.Client, DialContext: dialCounting(meter)}
 	return c
 }
 
 // Send implements port.Peers.
 func (c *Client) Send(ctx context.Context, to membership.VM, message port.Message) error {
-	l, err := c.link(ctx, to.PeerAddress)
+	cc, err := c.connect(ctx, to.PeerAddress)
 	if err != nil {
 		return err
 	}
-	return l.write(ctx, message, 0)
+	return cc.write(ctx, message, 0)
 }
 
-// Ask implements port.Peers.
+// Request implements port.Peers.
 func (c *Client) Request(ctx context.Context, to membership.VM, message port.Message) (port.Message, error) {
-	l, err := c.link(ctx, to.PeerAddress)
+	cc, err := c.connect(ctx, to.PeerAddress)
 	if err != nil {
 		return nil, err
 	}
-	return l.ask(ctx, message)
+	return cc.request(ctx, message)
 }
 
-// CloseIdle closes connections that carried nothing for IdleTimeout, forgets
-// those that broke, and tries those from which nothing came for long.
+// CloseIdle closes connections on which no message was sent for IdleTimeout, removes broken
+// ones, and pings those on which nothing was received for pingAfter.
 func (c *Client) CloseIdle() {
-	for _, l := range c.dropIdle() {
-		go l.ping(context.Background())
+	for _, cc := range c.dropIdle() {
+		go cc.ping(context.Background())
 	}
 }
 
-// dropIdle returns the links that should be tried.
-func (c *Client) dropIdle() []*link {
+// dropIdle closes and removes idle and broken connections, and returns the connections to
+// ping.
+func (c *Client) dropIdle() []*clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var silent []*link
-	for address, l := range c.links {
+	var idle []*clientConn
+	for address, cc := range c.conns {
 		switch {
-		case l.broken() || c.now().Sub(l.lastUsed()) > IdleTimeout:
-			l.close()
-			delete(c.links, address)
-		case c.now().Sub(l.lastHeard()) > pingAfter:
-			silent = append(silent, l)
+		case cc.broken() || c.now().Sub(cc.lastSent()) > IdleTimeout:
+			cc.close()
+			delete(c.conns, address)
+		case c.now().Sub(cc.lastReceived()) > pingAfter:
+			idle = append(idle, cc)
 		}
 	}
-	return silent
+	return idle
 }
 
-// Open returns how many connections are open.
+// NumOpen returns the number of open connections.
 func (c *Client) NumOpen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.links)
+	return len(c.conns)
 }
 
 // Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for address, l := range c.links {
-		l.close()
-		delete(c.links, address)
+	for address, cc := range c.conns {
+		cc.close()
+		delete(c.conns, address)
 	}
 }
 
-// link returns the open connection to address or opens one. Two callers may
-// dial at once; the later one's connection is dropped again.
-func (c *Client) link(ctx context.Context, address string) (*link, error) {
-	if l := c.open(address); l != nil {
-		return l, nil
+// connect returns the open connection to an address, or opens one. If two callers dial at the
+// same time, the connection that is established later is closed again.
+func (c *Client) connect(ctx context.Context, address string) (*clientConn, error) {
+	if cc := c.openConn(address); cc != nil {
+		return cc, nil
 	}
 	conn, response, err := websocket.Dial(ctx, "wss://"+address+Path, &websocket.DialOptions{HTTPClient: c.http})
 	if err != nil {
@@ -133,43 +134,45 @@
 	conn.SetReadLimit(MaxMessageBytes)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l := c.links[address]; l != nil && !l.broken() {
+	if cc := c.conns[address]; cc != nil && !cc.broken() {
 		conn.CloseNow()
-		return l, nil
+		return cc, nil
 	}
-	c.makeRoom()
-	l := newLink(conn, peer, c.now)
-	c.links[address] = l
-	return l, nil
+	c.evictIdle()
+	cc := newClientConn(conn, peer, c.now)
+	c.conns[address] = cc
+	return cc, nil
 }
 
-// makeRoom closes the link that was idle longest when there are too many; the
-// caller holds mu. Links with open questions stay, so that no answer is cut.
-func (c *Client) makeRoom() {
-	if len(c.links) < MaxClientConnections {
+// evictIdle closes the connection that has been idle longest if MaxClientConnections is
+// reached. Connections with pending requests stay open, so that no response is lost. It must
+// be called with the mutex held.
+func (c *Client) evictIdle() {
+	if len(c.conns) < MaxClientConnections {
 		return
 	}
 	var oldest string
-	for address, l := range c.links {
-		if l.broken() {
-			delete(c.links, address)
+	for address, cc := range c.conns {
+		if cc.broken() {
+			delete(c.conns, address)
 			return
 		}
-		if !l.busy() && (oldest == "" || l.lastUsed().Before(c.links[oldest].lastUsed())) {
+		if !cc.hasPending() && (oldest == "" || cc.lastSent().Before(c.conns[oldest].lastSent())) {
 			oldest = address
 		}
 	}
 	if oldest != "" {
-		c.links[oldest].close()
-		delete(c.links, oldest)
+		c.conns[oldest].close()
+		delete(c.conns, oldest)
 	}
 }
 
-func (c *Client) open(address string) *link {
+// openConn returns the open connection to an address, or nil.
+func (c *Client) openConn(address string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l := c.links[address]; l != nil && !l.broken() {
-		return l
+	if cc := c.conns[address]; cc != nil && !cc.broken() {
+		return cc
 	}
 	return nil
 }
--- a/internal/adapter/peerws/codec.go
+++ b/internal/adapter/peerws/codec.go
@@ -1,6 +1,6 @@
-// Package peerws carries control messages between nodes as CBOR over
-// WebSocket connections with mutual TLS. Many messages share one connection;
-// answers are matched to questions by number, never by order.
+// Package peerws sends control messages between nodes as CBOR over WebSocket connections
+// with mutual TLS. Concurrent requests share one connection; responses are matched to
+// requests by number, not by order.
 package peerws
 
 import (
@@ -10,25 +10,25 @@
 	"tamarackquay/internal/port"
 )
 
-// MaxMessageBytes bounds a control message: one part of the largest size with
-// room for its envelope.
+// MaxMessageBytes limits the size of a control message. It is enough for one part of the
+// largest size and the envelope.
 const MaxMessageBytes = 2 << 20
 
-// ErrBadMessage says that a peer sent what can't be decoded.
+// ErrBadMessage means that a peer sent a message that can't be decoded.
 var ErrBadMessage = errors.New("bad peer message")
 
 // envelope is the frame around each message.
 type envelope struct {
 	Type port.MessageType `cbor:"t"`
-	// Question numbers a message that wants an answer; 0 wants none.
-	Question uint64 `cbor:"q,omitempty"`
-	// Answer is the number of the question that this message answers.
-	Answer uint64          `cbor:"a,omitempty"`
-	Body   cbor.RawMessage `cbor:"b"`
+	// RequestID is the number of a request; 0 for a message that expects no response.
+	RequestID uint64 `cbor:"q,omitempty"`
+	// ResponseTo is the number of the request that this message responds to; 0 for none.
+	ResponseTo uint64          `cbor:"a,omitempty"`
+	Body       cbor.RawMessage `cbor:"b"`
 }
 
-// Limits on what is decoded: they bound the memory that a broken peer can make
-// this node take.
+// Limits of decoded messages. They bound the memory that a broken peer can make this node
+// allocate.
 const (
 	maxArrayElements = 1 << 14
 	maxMapPairs      = 64
@@ -47,19 +47,19 @@
 	return mode
 }()
 
-// EncodedSize is the number of bytes that a message takes on the wire, without
-// the framing of the layers below; measurements count with it.
+// EncodedSize returns the size of an encoded message in bytes, without the framing of the
+// layers below. Measurements use it.
 func EncodedSize(message port.Message) (int, error) {
 	raw, err := encode(message, 1, 0)
 	return len(raw), err
 }
 
-func encode(message port.Message, question, answer uint64) ([]byte, error) {
+func encode(message port.Message, requestID, responseTo uint64) ([]byte, error) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode message")
 	}
-	raw, err := cbor.Marshal(envelope{Type: message.MessageType(), Question: question, Answer: answer, Body: body})
+	raw, err := cbor.Marshal(envelope{Type: message.MessageType(), RequestID: requestID, ResponseTo: responseTo, Body: body})
 	return raw, errors.Wrap(err, "encode envelope")
 }
 
@@ -72,8 +72,8 @@
 	return frame, message, err
 }
 
-// bodies decodes the body of each type of message.
-var bodies = map[port.MessageType]func(body []byte) (port.Message, error){
+// bodyDecoders holds the decoder of the body of each message type.
+var bodyDecoders = map[port.MessageType]func(body []byte) (port.Message, error){
 	port.TypeHeartbeat:       decodeAs[port.Heartbeat],
 	port.TypeAnnounce:        decodeAs[port.Announce],
 	port.TypeManifestRequest: decodeAs[port.ManifestRequest],
@@ -89,7 +89,7 @@
 }
 
 func decodeBody(frame envelope) (port.Message, error) {
-	decodeType, ok := bodies[frame.Type]
+	decodeType, ok := bodyDecoders[frame.Type]
 	if !ok {
 		return nil, errors.Wrapf(ErrBadMessage, "unknown type %d", frame.Type)
 	}
--- a/internal/adapter/peerws/codec_test.go
+++ b/internal/adapter/peerws/codec_test.go
@@ -10,18 +10,18 @@
 	"tamarackquay/internal/snapshot"
 )
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	sent := port.Announce{From: "vm-1", Version: snapshot.Version{Epoch: 1, Revision: 7}, Root: snapshot.HashOf([]byte("x"))}
 	raw, err := encode(sent, 3, 0)
 	assert.NilError(t, err)
 	frame, got, err := decode(raw)
 	assert.NilError(t, err)
-	assert.Equal(t, frame.Question, uint64(3))
+	assert.Equal(t, frame.RequestID, uint64(3))
 	assert.DeepEqual(t, got, sent)
 }
 
-// Whatever bytes a broken peer sends, decoding ends in a message or in a typed
-// error: a crash here would let one peer take a domain down.
+// FuzzDecode guards against a panic while decoding: with it, one broken peer could crash all
+// nodes of a domain. Decoding any input must return either a message or an error.
 func FuzzDecode(f *testing.F) {
 	for _, message := range []port.Message{port.Heartbeat{}, port.PartsReply{Parts: [][]byte{{1}}}, port.Busy{RetryAfter: 1},
 		port.Gossip{Records: make([]membership.Record, 2), Marks: make([]membership.DepartureMark, 1)}, port.ProbeRequest{}, port.ProbeReply{},
--- a/internal/adapter/peerws/counted.go
+++ b/internal/adapter/peerws/counted.go
@@ -8,11 +8,11 @@
 	"tamarackquay/internal/port"
 )
 
-// dialTimeout bounds the opening of a TCP connection to a peer.
+// dialTimeout limits the time to open a TCP connection to a peer.
 const dialTimeout = 3 * time.Second
 
-// countedConn counts the bytes of a connection below TLS, so that the figure is
-// what the link between two failure domains carries.
+// countedConn counts the bytes of a connection below TLS, so that the count equals the bytes
+// that cross the link between two failure domains.
 type countedConn struct {
 	net.Conn
 	meter port.Meter
@@ -32,8 +32,8 @@
 	return n, err
 }
 
-// dialCounted returns a dialer whose connections the meter counts.
-func dialCounted(meter port.Meter) func(ctx context.Context, network, address string) (net.Conn, error) {
+// dialCounting returns a dial function whose connections count their bytes in the meter.
+func dialCounting(meter port.Meter) func(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
--- a/internal/adapter/peerws/identity.go
+++ b/internal/adapter/peerws/identity.go
@@ -6,18 +6,18 @@
 	"tamarackquay/internal/port"
 )
 
-// ErrWrongSender says that a message names another VM than the one whose
-// certificate opened the connection.
+// ErrWrongSender means that the sender given in a message is not the VM whose certificate
+// authenticated the connection.
 var ErrWrongSender = errors.New("message is not from the VM that it names")
 
-// checkSender holds a peer to its certificate. A process with a wrong id in its
-// settings, or one taken over, could else say goodbye in another VM's name, and
-// that VM would lose its work. What a peer passes on about third VMs is its word
-// only; those refute what is wrong.
-func checkSender(proven string, message port.Message) error {
+// checkSender checks that the sender given in a message is the authenticated peer. Otherwise,
+// a compromised process, or one with a wrong id in its settings, could announce the
+// departure of another VM, which would then receive no more requests. Records of third VMs
+// in a message are not checked; a VM corrects wrong records of itself.
+func checkSender(peer string, message port.Message) error {
 	sent, ok := message.(port.SenderMessage)
-	if !ok || sent.Sender() == "" || sent.Sender() == proven {
+	if !ok || sent.Sender() == "" || sent.Sender() == peer {
 		return nil
 	}
-	return errors.Wrapf(ErrWrongSender, "%q speaks as %q", proven, sent.Sender())
+	return errors.Wrapf(ErrWrongSender, "%q speaks as %q", peer, sent.Sender())
 }
--- a/internal/adapter/peerws/link.go
+++ b/internal/adapter/peerws/link.go
@@ -12,148 +12,152 @@
 	"tamarackquay/internal/port"
 )
 
-// link is one connection with the questions that wait for answers on it.
-type link struct {
+// clientConn is a connection opened by this node, with its pending requests.
+type clientConn struct {
 	conn *websocket.Conn
-	// peer is the VM id that the other side has proven.
+	// peer is the VM id in the peer's verified certificate.
 	peer string
 	now  func() time.Time
 	done chan struct{}
-	// used and heard are when a message was last sent and received, in
-	// nanoseconds since 1970.
-	used, heard atomic.Int64
-	// closed is set before the connection is: its reader takes a moment to end,
-	// and a question in that moment must open a new link.
+	// sentAt and receivedAt are the times of the last sent and the last received message,
+	// in Unix nanoseconds.
+	sentAt, receivedAt atomic.Int64
+	// closed is set before conn is closed. The reader ends a moment later, and a request in
+	// between must open a new connection.
 	closed atomic.Bool
 
 	mu      sync.Mutex
-	next    uint64
-	waiting map[uint64]chan port.Message
+	lastID  uint64
+	pending map[uint64]chan port.Message
 }
 
-func newLink(conn *websocket.Conn, peer string, now func() time.Time) *link {
-	l := &link{conn: conn, peer: peer, now: now, done: make(chan struct{}), waiting: map[uint64]chan port.Message{}}
-	l.used.Store(now().UnixNano())
-	l.heard.Store(now().UnixNano())
-	go l.read()
-	return l
+func newClientConn(conn *websocket.Conn, peer string, now func() time.Time) *clientConn {
+	cc := &clientConn{conn: conn, peer: peer, now: now, done: make(chan struct{}), pending: map[uint64]chan port.Message{}}
+	cc.sentAt.Store(now().UnixNano())
+	cc.receivedAt.Store(now().UnixNano())
+	go cc.read()
+	return cc
 }
 
-// read hands answers to those who wait for them. It ends, and with it the
-// link, when the connection breaks.
-func (l *link) read() {
-	defer close(l.done)
-	defer l.conn.CloseNow()
+// read delivers responses to the pending requests until the connection breaks or the peer
+// sends an invalid message.
+func (cc *clientConn) read() {
+	defer close(cc.done)
+	defer cc.conn.CloseNow()
 	for {
-		_, raw, err := l.conn.Read(context.Background())
+		_, raw, err := cc.conn.Read(context.Background())
 		if err != nil {
 			return
 		}
-		l.heard.Store(l.now().UnixNano())
+		cc.receivedAt.Store(cc.now().UnixNano())
 		frame, message, err := decode(raw)
-		if err != nil || checkSender(l.peer, message) != nil {
+		if err != nil || checkSender(cc.peer, message) != nil {
 			return
 		}
-		if answer := l.take(frame.Answer); answer != nil {
-			answer <- message
+		if response := cc.takePending(frame.ResponseTo); response != nil {
+			response <- message
 		}
 	}
 }
 
-func (l *link) take(question uint64) chan port.Message {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	answer := l.waiting[question]
-	delete(l.waiting, question)
-	return answer
+// takePending removes a pending request and returns its response channel, or nil if there is
+// no such request.
+func (cc *clientConn) takePending(requestID uint64) chan port.Message {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	response := cc.pending[requestID]
+	delete(cc.pending, requestID)
+	return response
 }
 
-func (l *link) ask(ctx context.Context, message port.Message) (port.Message, error) {
-	answer := make(chan port.Message, 1)
-	l.mu.Lock()
-	l.next++
-	question := l.next
-	l.waiting[question] = answer
-	l.mu.Unlock()
-	defer l.take(question)
-	asked := l.now().UnixNano()
-	if err := l.write(ctx, message, question); err != nil {
+func (cc *clientConn) request(ctx context.Context, message port.Message) (port.Message, error) {
+	response := make(chan port.Message, 1)
+	cc.mu.Lock()
+	cc.lastID++
+	requestID := cc.lastID
+	cc.pending[requestID] = response
+	cc.mu.Unlock()
+	defer cc.takePending(requestID)
+	sentAt := cc.now().UnixNano()
+	if err := cc.write(ctx, message, requestID); err != nil {
 		return nil, err
 	}
 	select {
-	case reply := <-answer:
+	case reply := <-response:
 		return reply, nil
-	case <-l.done:
-		return nil, errors.Wrap(port.ErrUnreachable, "connection closed before the answer")
+	case <-cc.done:
+		return nil, errors.Wrap(port.ErrUnreachable, "connection closed before the response")
 	case <-ctx.Done():
-		l.suspect(asked)
+		cc.closeIfHalfOpen(sentAt)
 		return nil, errors.Wrap(port.ErrUnreachable, ctx.Err().Error())
 	}
 }
 
-// halfOpenAfter is how long a link may be silent after a question. It lies below
-// the timeout of a probe and above a round trip between regions.
+// halfOpenAfter is how long a request must have waited, with nothing received on its
+// connection, for the connection to count as half-open. It must be shorter than the timeout
+// of a probe and longer than a round trip between regions.
 const halfOpenAfter = 400 * time.Millisecond
 
-// suspect closes a link on which nothing came since a question was asked on it.
-// A VM that vanished without closing its connections leaves them half open:
-// writes go on to succeed, every question runs into its timeout, and the VM's
-// successor at the same address is never met.
-func (l *link) suspect(asked int64) {
-	silent := l.heard.Load() < asked
-	if silent && l.now().UnixNano()-asked >= int64(halfOpenAfter) {
-		l.close()
+// closeIfHalfOpen closes the connection if nothing was received on it since a request was
+// sent, and that was at least halfOpenAfter ago. A VM that fails without closing its
+// connections leaves them half-open: writes still succeed, every request times out, and the
+// VM that replaces it at the same address is never reached.
+func (cc *clientConn) closeIfHalfOpen(sentAt int64) {
+	idle := cc.receivedAt.Load() < sentAt
+	if idle && cc.now().UnixNano()-sentAt >= int64(halfOpenAfter) {
+		cc.close()
 	}
 }
 
-func (l *link) write(ctx context.Context, message port.Message, question uint64) error {
-	raw, err := encode(message, question, 0)
+func (cc *clientConn) write(ctx context.Context, message port.Message, requestID uint64) error {
+	raw, err := encode(message, requestID, 0)
 	if err != nil {
 		return err
 	}
-	l.used.Store(l.now().UnixNano())
-	if err := l.conn.Write(ctx, websocket.MessageBinary, raw); err != nil {
+	cc.sentAt.Store(cc.now().UnixNano())
+	if err := cc.conn.Write(ctx, websocket.MessageBinary, raw); err != nil {
 		return errors.Wrap(port.ErrUnreachable, err.Error())
 	}
 	return nil
 }
 
-// ping closes the link if the other side gives no sign of life. Links that only
-// carry messages without answers would else not be seen to be half open.
-func (l *link) ping(ctx context.Context) {
+// ping closes the connection if the peer doesn't respond to a ping. It detects half-open
+// connections on which only messages without response are sent.
+func (cc *clientConn) ping(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	if l.conn.Ping(ctx) != nil {
-		l.close()
+	if cc.conn.Ping(ctx) != nil {
+		cc.close()
 		return
 	}
-	l.heard.Store(l.now().UnixNano())
+	cc.receivedAt.Store(cc.now().UnixNano())
 }
 
-func (l *link) lastUsed() time.Time { return time.Unix(0, l.used.Load()) }
+func (cc *clientConn) lastSent() time.Time { return time.Unix(0, cc.sentAt.Load()) }
 
-func (l *link) lastHeard() time.Time { return time.Unix(0, l.heard.Load()) }
+func (cc *clientConn) lastReceived() time.Time { return time.Unix(0, cc.receivedAt.Load()) }
 
-// busy reports whether questions wait for answers.
-func (l *link) busy() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.waiting) > 0
+// hasPending reports whether requests are waiting for a response.
+func (cc *clientConn) hasPending() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return len(cc.pending) > 0
 }
 
-func (l *link) broken() bool {
-	if l.closed.Load() {
+// broken reports whether the connection is closed or its reader has ended.
+func (cc *clientConn) broken() bool {
+	if cc.closed.Load() {
 		return true
 	}
 	select {
-	case <-l.done:
+	case <-cc.done:
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *link) close() {
-	l.closed.Store(true)
-	l.conn.CloseNow()
+func (cc *clientConn) close() {
+	cc.closed.Store(true)
+	cc.conn.CloseNow()
 }
--- a/internal/adapter/peerws/peerws_test.go
+++ b/internal/adapter/peerws/peerws_test.go
@@ -21,7 +21,7 @@
 	"tamarackquay/internal/port"
 )
 
-// fleet issues certificates of one authority.
+// fleet creates peers with certificates of one authority.
 type fleet struct {
 	t         testing.TB
 	authority *peertls.Pair
@@ -45,7 +45,7 @@
 	return peertls.New(certificate, pool)
 }
 
-// serve starts a peer's listener and returns the VM that it stands for.
+// serve starts a peer's listener and returns the peer's VM.
 func (f *fleet) serve(name string, handler port.PeerHandler) membership.VM {
 	f.t.Helper()
 	server := httptest.NewUnstartedServer(NewServer(handler))
@@ -62,8 +62,8 @@
 	return client
 }
 
-// raw opens a connection that sends whatever bytes a test likes.
-func (f *fleet) raw(name string, to membership.VM) *websocket.Conn {
+// dial opens a connection on which a test can send arbitrary bytes.
+func (f *fleet) dial(name string, to membership.VM) *websocket.Conn {
 	f.t.Helper()
 	transport := &http.Transport{TLSClientConfig: f.config(name).Client}
 	conn, _, err := websocket.Dial(f.t.Context(), "wss://"+to.PeerAddress+Path, &websocket.DialOptions{HTTPClient: &http.Client{Transport: transport}})
@@ -78,20 +78,20 @@
 	return h(ctx, m)
 }
 
-func beatOf(id string) port.Heartbeat {
+func heartbeatFrom(id string) port.Heartbeat {
 	return port.Heartbeat{From: membership.Record{VM: membership.VM{ID: id}, Incarnation: 1, State: membership.Live}}
 }
 
-func answering(id string) handlerFunc {
-	return func(context.Context, port.Message) (port.Message, error) { return beatOf(id), nil }
+func respondAs(id string) handlerFunc {
+	return func(context.Context, port.Message) (port.Message, error) { return heartbeatFrom(id), nil }
 }
 
-// A peer sends what no peer should. Its connection ends with a status that tells
-// its operator why, and others go on being served.
+// Guards against a peer whose invalid messages disturb others. Its connection must be closed
+// with a status that shows its operator the reason, and other peers must still be served.
 func TestBrokenPeersAreCutOff(t *testing.T) {
-	good, err := encode(beatOf("vm-1"), 1, 0)
+	good, err := encode(heartbeatFrom("vm-1"), 1, 0)
 	assert.NilError(t, err)
-	stranger, err := encode(port.Gossip{From: "vm-9"}, 0, 0)
+	otherSender, err := encode(port.Gossip{From: "vm-9"}, 0, 0)
 	assert.NilError(t, err)
 	for _, tt := range []struct {
 		desc string
@@ -101,32 +101,34 @@
 		{"broken CBOR", []byte{0xff, 0x00}, websocket.StatusUnsupportedData},
 		{"half a message", good[:len(good)/2], websocket.StatusUnsupportedData},
 		{"too large", make([]byte, MaxRequestBytes+1), websocket.StatusMessageTooBig},
-		{"another VM's name", stranger, websocket.StatusPolicyViolation},
+		{"another VM's name", otherSender, websocket.StatusPolicyViolation},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
 			f := newFleet(t)
-			to := f.serve("vm-2", answering("vm-2"))
-			conn := f.raw("vm-1", to)
+			to := f.serve("vm-2", respondAs("vm-2"))
+			conn := f.dial("vm-1", to)
 			_ = conn.Write(t.Context(), websocket.MessageBinary, tt.sent)
 			_, _, err := conn.Read(t.Context())
 			assert.Equal(t, websocket.CloseStatus(err), tt.want, "%v", err)
-			_, err = f.client("vm-1").Request(t.Context(), to, beatOf("vm-1"))
+			_, err = f.client("vm-1").Request(t.Context(), to, heartbeatFrom("vm-1"))
 			assert.NilError(t, err)
 		})
 	}
 }
 
-// The answer must come from the VM that the connection was proven to lead to.
-func TestAnswerInAnotherNameIsDropped(t *testing.T) {
+// Guards against accepting a response that names another sender than the VM in the peer's
+// certificate.
+func TestResponseInAnotherNameIsDropped(t *testing.T) {
 	f := newFleet(t)
-	to := f.serve("vm-2", answering("vm-7"))
-	_, err := f.client("vm-1").Request(t.Context(), to, beatOf("vm-1"))
+	to := f.serve("vm-2", respondAs("vm-7"))
+	_, err := f.client("vm-1").Request(t.Context(), to, heartbeatFrom("vm-1"))
 	assert.Check(t, errors.Is(err, port.ErrUnreachable), "%v", err)
 }
 
-// A server without the TLS listener in front refuses everyone.
+// Guards against serving unauthenticated peers: without the TLS listener in front, the server
+// must reject all connections.
 func TestPlainHTTPIsRefused(t *testing.T) {
-	server := httptest.NewServer(NewServer(answering("vm-2")))
+	server := httptest.NewServer(NewServer(respondAs("vm-2")))
 	defer server.Close()
 	response, err := http.Get(server.URL + Path)
 	assert.NilError(t, err)
@@ -134,62 +136,63 @@
 	assert.Equal(t, response.StatusCode, http.StatusForbidden)
 }
 
-// A peer floods a slow node with questions. Only so many are worked on at a
-// time; the rest wait in the peer's own buffers, and other peers are answered.
+// Guards against a peer that floods a slow node with requests. Only maxInFlight may be
+// handled concurrently; the rest stay in the sender's buffers, and requests of other peers
+// are handled.
 func TestFloodIsBounded(t *testing.T) {
 	f := newFleet(t)
-	var working, most atomic.Int64
+	var active, maxActive atomic.Int64
 	release := make(chan struct{})
 	to := f.serve("vm-2", handlerFunc(func(_ context.Context, m port.Message) (port.Message, error) {
 		if m.(port.Heartbeat).From.VM.ID != "vm-1" {
-			return beatOf("vm-2"), nil
+			return heartbeatFrom("vm-2"), nil
 		}
-		most.Store(max(most.Load(), working.Add(1)))
+		maxActive.Store(max(maxActive.Load(), active.Add(1)))
 		<-release
-		working.Add(-1)
+		active.Add(-1)
 		return nil, nil
 	}))
-	conn := f.raw("vm-1", to)
-	flood, err := encode(beatOf("vm-1"), 1, 0)
+	conn := f.dial("vm-1", to)
+	flood, err := encode(heartbeatFrom("vm-1"), 1, 0)
 	assert.NilError(t, err)
 	for range 3 * maxInFlight {
 		assert.NilError(t, conn.Write(t.Context(), websocket.MessageBinary, flood))
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if working.Load() < maxInFlight {
-			return poll.Continue("%d are worked on", working.Load())
+		if active.Load() < maxInFlight {
+			return poll.Continue("%d are being handled", active.Load())
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
-	_, err = f.client("vm-3").Request(t.Context(), to, beatOf("vm-3"))
+	_, err = f.client("vm-3").Request(t.Context(), to, heartbeatFrom("vm-3"))
 	assert.NilError(t, err)
-	assert.Equal(t, most.Load(), int64(maxInFlight))
+	assert.Equal(t, maxActive.Load(), int64(maxInFlight))
 	close(release)
 }
 
-// A VM vanishes without closing its connections, and its successor comes up at
-// the same address. Questions would go on into the old connection until it is
-// idle for a minute, which it never is.
-func TestHalfOpenLinkIsReplaced(t *testing.T) {
+// Guards against sending requests on a half-open connection: a VM fails without closing its
+// connections, and its replacement starts at the same address. The old connection would be
+// used until the idle timeout, which regular requests keep from expiring.
+func TestHalfOpenConnectionIsReplaced(t *testing.T) {
 	f := newFleet(t)
-	to := f.serve("vm-2", answering("vm-2"))
+	to := f.serve("vm-2", respondAs("vm-2"))
 	relay, hold := newRelay(t, to.PeerAddress)
 	client := f.client("vm-1")
 	via := membership.VM{ID: "vm-2", PeerAddress: relay}
-	_, err := client.Request(t.Context(), via, beatOf("vm-1"))
+	_, err := client.Request(t.Context(), via, heartbeatFrom("vm-1"))
 	assert.NilError(t, err)
 	hold.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), halfOpenAfter+100*time.Millisecond)
 	defer cancel()
-	_, err = client.Request(ctx, via, beatOf("vm-1"))
+	_, err = client.Request(ctx, via, heartbeatFrom("vm-1"))
 	assert.Check(t, errors.Is(err, port.ErrUnreachable))
 	hold.Store(false)
-	_, err = client.Request(t.Context(), via, beatOf("vm-1"))
+	_, err = client.Request(t.Context(), via, heartbeatFrom("vm-1"))
 	assert.NilError(t, err)
 }
 
-// newRelay passes connections on to an address. A connection that carries
-// anything while hold is set falls silent for good, as if its peer had vanished.
+// newRelay relays connections to an address. A connection on which data is sent while hold is
+// set forwards nothing from then on, as if its peer had failed without closing it.
 func newRelay(t *testing.T, to string) (string, *atomic.Bool) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -207,56 +210,57 @@
 				near.Close()
 				return
 			}
-			go pass(near, far, hold)
-			go pass(far, near, hold)
+			go forward(near, far, hold)
+			go forward(far, near, hold)
 		}
 	}()
 	return listener.Addr().String(), hold
 }
 
-func pass(from, to net.Conn, hold *atomic.Bool) {
+func forward(from, to net.Conn, hold *atomic.Bool) {
 	buffer := make([]byte, 1<<16)
-	silent := false
+	stalled := false
 	for {
 		count, err := from.Read(buffer)
 		if err != nil {
 			to.Close()
 			return
 		}
-		if silent = silent || hold.Load(); !silent {
+		if stalled = stalled || hold.Load(); !stalled {
 			_, _ = to.Write(buffer[:count])
 		}
 	}
 }
 
-// A node talks to more peers than it may keep connections to: those idle longest
-// are closed, so neither side's count grows with the fleet.
+// Guards against a number of connections that grows with the fleet: a node that communicates
+// with more than MaxClientConnections peers must close the connections idle longest.
 func TestConnectionsAreBounded(t *testing.T) {
 	f := newFleet(t)
-	to := f.serve("vm-2", answering("vm-2"))
+	to := f.serve("vm-2", respondAs("vm-2"))
 	client := f.client("vm-1")
 	_, port, err := net.SplitHostPort(to.PeerAddress)
 	assert.NilError(t, err)
 	for i := range MaxClientConnections + 5 {
 		relay, _ := newRelay(t, net.JoinHostPort("127.0.0.1", port))
-		_, err := client.Request(t.Context(), membership.VM{PeerAddress: relay}, beatOf("vm-1"))
+		_, err := client.Request(t.Context(), membership.VM{PeerAddress: relay}, heartbeatFrom("vm-1"))
 		assert.NilError(t, err, "peer %d", i)
 		assert.Assert(t, client.NumOpen() <= MaxClientConnections)
 	}
 }
 
-// Links idle for long are closed; those in use stay.
-func TestIdleLinksAreClosed(t *testing.T) {
+// Guards against connections that stay open after IdleTimeout, and against closing connections
+// that are in use.
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	f := newFleet(t)
-	to := f.serve("vm-2", answering("vm-2"))
-	var ahead atomic.Int64
-	client := NewClient(f.config("vm-1"), func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
+	to := f.serve("vm-2", respondAs("vm-2"))
+	var offset atomic.Int64
+	client := NewClient(f.config("vm-1"), func() time.Time { return time.Now().Add(time.Duration(offset.Load())) })
 	t.Cleanup(client.Close)
-	_, err := client.Request(t.Context(), to, beatOf("vm-1"))
+	_, err := client.Request(t.Context(), to, heartbeatFrom("vm-1"))
 	assert.NilError(t, err)
 	client.CloseIdle()
 	assert.Equal(t, client.NumOpen(), 1)
-	ahead.Store(int64(IdleTimeout + time.Second))
+	offset.Store(int64(IdleTimeout + time.Second))
 	client.CloseIdle()
 	assert.Equal(t, client.NumOpen(), 0)
 }
--- a/internal/adapter/peerws/server.go
+++ b/internal/adapter/peerws/server.go
@@ -14,97 +14,98 @@
 	"tamarackquay/internal/port"
 )
 
-// Path is where peers open their WebSocket.
+// Path is the URL path at which peers open their WebSocket.
 const Path = "/peer/ws"
 
-// Bounds on what peers can make this node hold or do.
+// Limits of the memory and work that peers can cause at this node.
 const (
-	// maxInFlight bounds the questions of one connection that are answered at
-	// a time; the connection is not read further while it is full.
+	// maxInFlight limits the messages of one connection that are handled concurrently. At
+	// the limit, the connection is not read.
 	maxInFlight = 32
-	// MaxQuestionBytes bounds what a peer may send unasked. Answers, which
-	// carry parts, may be as large as MaxMessageBytes.
+	// MaxRequestBytes limits the size of messages that are not responses. Responses, which
+	// may contain parts, are limited by MaxMessageBytes.
 	MaxRequestBytes = 256 << 10
-	// MaxConnections bounds the peers' connections to one node. Each peer
-	// keeps some twenty open, spread over the fleet.
+	// MaxConnections limits the connections of peers to one node. Each peer keeps about
+	// twenty connections open, spread over the fleet.
 	MaxConnections = 512
-	// messageRate and messageBurst bound the messages of one connection; it is
-	// read no faster.
+	// messageRate, in messages a second, and messageBurst limit the rate at which one
+	// connection is read.
 	messageRate  = 200
 	messageBurst = 400
-	// writeTimeout ends a connection whose reader has stopped: its answers
-	// would else be held for ever.
+	// writeTimeout ends a connection whose peer has stopped reading. Otherwise, the
+	// responses to it would stay in memory forever.
 	writeTimeout = 10 * time.Second
-	// readTimeout ends a connection that carries nothing. The other side closes
-	// it after IdleTimeout; if that never came, it is half open.
+	// readTimeout ends a connection on which nothing is received. The peer closes an idle
+	// connection after IdleTimeout; if it did not, the connection is half-open.
 	readTimeout = 2 * IdleTimeout
 )
 
-// Server accepts peers' connections. The TLS listener in front of it has
-// already proven that the other side is a peer.
+// Server accepts connections of peers. The TLS listener in front of it has already verified
+// that the client is a peer.
 type Server struct {
 	handler port.PeerHandler
-	open    atomic.Int64
+	numOpen atomic.Int64
 }
 
-// NewServer returns a server that hands messages to handler.
+// NewServer returns a server that passes messages to a handler.
 func NewServer(handler port.PeerHandler) *Server { return &Server{handler: handler} }
 
-// ServeHTTP takes over one connection until it ends.
+// ServeHTTP implements http.Handler. It serves one connection until it is closed.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	name, err := peertls.VMID(r.TLS)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
-	if s.open.Add(1) > MaxConnections {
-		s.open.Add(-1)
+	if s.numOpen.Add(1) > MaxConnections {
+		s.numOpen.Add(-1)
 		http.Error(w, "too many peer connections", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.open.Add(-1)
+	defer s.numOpen.Add(-1)
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return
 	}
 	defer conn.CloseNow()
 	conn.SetReadLimit(MaxRequestBytes)
-	session := &session{server: s, conn: conn, peer: name, room: make(chan struct{}, maxInFlight)}
+	session := &session{server: s, conn: conn, peer: name, slots: make(chan struct{}, maxInFlight)}
 	session.serve(r.Context())
 }
 
-// session is one peer's connection.
+// session is one connection of a peer.
 type session struct {
-	server  *Server
-	conn    *websocket.Conn
-	peer    string
-	room    chan struct{}
-	working sync.WaitGroup
+	server   *Server
+	conn     *websocket.Conn
+	peer     string
+	slots    chan struct{}
+	handlers sync.WaitGroup
 }
 
 func (s *session) serve(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer s.working.Wait()
+	defer s.handlers.Wait()
 	defer cancel()
-	pace := rate.NewLimiter(messageRate, messageBurst)
-	for pace.Wait(ctx) == nil {
+	limiter := rate.NewLimiter(messageRate, messageBurst)
+	for limiter.Wait(ctx) == nil {
 		frame, message, err := s.read(ctx)
 		if err != nil {
 			return
 		}
 		select {
-		case s.room <- struct{}{}:
+		case s.slots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
-		s.working.Go(func() {
-			defer func() { <-s.room }()
-			s.answer(ctx, frame, message)
+		s.handlers.Go(func() {
+			defer func() { <-s.slots }()
+			s.respond(ctx, frame, message)
 		})
 	}
 }
 
-// read returns the next message, or ends the connection with the reason why not.
+// read returns the next message. It closes the connection with a reason if the message is
+// invalid.
 func (s *session) read(ctx context.Context) (envelope, port.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -114,8 +115,8 @@
 	}
 	frame, message, err := decode(raw)
 	if err != nil {
-		// A peer that sends what can't be read is of another version or
-		// broken; the status tells its operator which.
+		// The peer is broken or has another version; the close reason shows its
+		// operator which.
 		s.conn.Close(websocket.StatusUnsupportedData, closeReason(err))
 		return frame, nil, err
 	}
@@ -126,7 +127,8 @@
 	return frame, message, nil
 }
 
-// maxReasonBytes is what fits the close frame of a WebSocket (RFC 6455).
+// maxReasonBytes is the length to which close reasons are truncated: a close frame of a
+// WebSocket has room for 123 bytes (RFC 6455).
 const maxReasonBytes = 120
 
 func closeReason(err error) string {
@@ -134,17 +136,18 @@
 	return reason[:min(len(reason), maxReasonBytes)]
 }
 
-func (s *session) answer(ctx context.Context, frame envelope, message port.Message) {
-	answer, err := s.server.handler.Handle(ctx, message)
-	if frame.Question == 0 || err != nil || answer == nil {
+// respond handles a message and sends the response if one is expected.
+func (s *session) respond(ctx context.Context, frame envelope, message port.Message) {
+	response, err := s.server.handler.Handle(ctx, message)
+	if frame.RequestID == 0 || err != nil || response == nil {
 		return
 	}
-	raw, err := encode(answer, 0, frame.Question)
+	raw, err := encode(response, 0, frame.RequestID)
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	// A failed write closes the connection, which ends the loop above.
+	// A failed write closes the connection, which ends the loop in serve.
 	_ = s.conn.Write(ctx, websocket.MessageBinary, raw)
 }
