--- a/internal/adapter/settings/check.go
+++ b/internal/adapter/settings/check.go
@@ -11,7 +11,7 @@
 	"tamarackquay/internal/tomlfile"
 )
 
-// The codes that checks of settings report.
+// Codes reported by the checks of settings.
 const (
 	CodeMissing    finding.Code = "setting-missing"
 	CodeBadName    finding.Code = "setting-bad-name"
@@ -25,31 +25,32 @@
 	CodeUnwise finding.Code = "setting-unwise"
 )
 
-// wiseHeartbeats is how many heartbeats a peer should be able to miss before it
-// is suspected: one lost connection costs one heartbeat.
-const wiseHeartbeats = 3
+// minMissedHeartbeats is the minimum recommended number of heartbeats that a peer may miss
+// before it becomes suspect: one lost connection costs one heartbeat.
+const minMissedHeartbeats = 3
 
-// namePattern keeps ids to what can stand in a header and a log line.
+// namePattern restricts ids to characters that are valid in headers and log lines.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
+// checker checks the values of a settings file and collects the findings.
 type checker struct {
-	file     string
-	lines    tomlfile.Lines
-	readable func(string) error
-	form     finding.List
-	found    finding.List
-	warnings finding.List
+	fileName       string
+	lines          tomlfile.Lines
+	checkReadable  func(string) error
+	syntaxFindings finding.List
+	findings       finding.List
+	warnings       finding.List
 }
 
 func (c *checker) add(code finding.Code, key, hint, format string, args ...any) {
 	f := c.finding(code, key, hint, format, args...)
-	for _, reported := range c.form {
-		// The value was of the wrong type and is already reported.
+	for _, reported := range c.syntaxFindings {
+		// The value on this line has the wrong type, which is already reported.
 		if f.Line > 0 && reported.Line == f.Line {
 			return
 		}
 	}
-	c.found = append(c.found, f)
+	c.findings = append(c.findings, f)
 }
 
 func (c *checker) warn(key, hint, format string, args ...any) {
@@ -57,7 +58,7 @@
 }
 
 func (c *checker) finding(code finding.Code, key, hint, format string, args ...any) finding.Finding {
-	return finding.Finding{Code: code, File: c.file, Line: c.lines.Of(key), Key: key,
+	return finding.Finding{Code: code, File: c.fileName, Line: c.lines.Of(key), Key: key,
 		Problem: fmt.Sprintf(format, args...), Hint: hint}
 }
 
@@ -83,68 +84,67 @@
 	c.positive("platform.list_interval", int64(s.Platform.ListInterval))
 	c.positive("peers.heartbeat", int64(s.Peers.Heartbeat))
 	c.positive("requests.drain", int64(s.Requests.Drain))
-	c.times(s)
+	c.durations(s)
 	if !slices.Contains([]string{"debug", "info", "warn", "error"}, s.Log.Level) {
 		c.add(CodeBadLevel, "log.level", "write debug, info, warn or error", "level %q is unknown", s.Log.Level)
 	}
 }
 
-func (c *checker) times(s *Settings) {
+func (c *checker) durations(s *Settings) {
 	if s.Peers.SuspectAfter <= s.Peers.Heartbeat {
-		c.add(CodeOutOfRange, "peers.suspect_after", "give several heartbeats", "must be above peers.heartbeat")
-	} else if s.Peers.SuspectAfter < wiseHeartbeats*s.Peers.Heartbeat {
-		c.warn("peers.suspect_after", fmt.Sprintf("give at least %d heartbeats", wiseHeartbeats), "one late heartbeat takes work from a peer that is well")
+		c.add(CodeOutOfRange, "peers.suspect_after", "set several heartbeats", "must be above peers.heartbeat")
+	} else if s.Peers.SuspectAfter < minMissedHeartbeats*s.Peers.Heartbeat {
+		c.warn("peers.suspect_after", fmt.Sprintf("set at least %d heartbeats", minMissedHeartbeats), "one late heartbeat makes a healthy peer suspect")
 	}
 	if s.Peers.ForgetAfter <= s.Peers.SuspectAfter {
-		c.add(CodeOutOfRange, "peers.forget_after", "give minutes", "must be above peers.suspect_after")
+		c.add(CodeOutOfRange, "peers.forget_after", "set several minutes", "must be above peers.suspect_after")
 	}
 	if s.Platform.WatchTimeout <= s.Platform.ReadTimeout {
-		c.warn("platform.watch_timeout", "give more than the platform's own wait", "a watch ends as soon as a read, and is paid for as one")
+		c.warn("platform.watch_timeout", "set more than the platform's own watch timeout", "a watch ends as early as a read and costs as much")
 	}
 }
 
 func (c *checker) required(key, value string) bool {
 	if value == "" {
-		c.add(CodeMissing, key, "give a value", "a value is required")
+		c.add(CodeMissing, key, "set a value", "a value is required")
 	}
 	return value != ""
 }
 
 func (c *checker) name(key, value string) {
 	if c.required(key, value) && !namePattern.MatchString(value) {
-		c.add(CodeBadName, key, "use letters, digits, dots, dashes and underscores, 63 at most", "%q is no name", value)
+		c.add(CodeBadName, key, "use letters, digits, dots, dashes and underscores, 63 at most", "%q is not a valid name", value)
 	}
 }
 
-// addresses checks each address and that no two of them are the same: the
-// second listener would fail at the start, or the node would call itself as its
-// own target.
+// addresses checks each address, and that no two are equal: with equal addresses, the second
+// listener would fail to start, or the node would send requests for its target to itself.
 func (c *checker) addresses(s *Settings) {
-	owners := map[netip.AddrPort]string{}
-	for _, listed := range []struct {
+	usedBy := map[netip.AddrPort]string{}
+	for _, setting := range []struct {
 		key, value string
-		// announced addresses are told to others, who must be able to call them.
-		announced bool
+		// public addresses are sent to other nodes and must be reachable for them.
+		public bool
 	}{
 		{"listen.callers", s.Listen.Callers, true},
 		{"listen.peers", s.Listen.Peers, true},
 		{"listen.operators", s.Listen.Operators, false},
 		{"target.address", s.Target.Address, true},
 	} {
-		if !c.required(listed.key, listed.value) {
+		if !c.required(setting.key, setting.value) {
 			continue
 		}
-		address, ok := c.address(listed.key, listed.value)
+		address, ok := c.address(setting.key, setting.value)
 		if !ok {
 			continue
 		}
-		if listed.announced && (address.Addr().IsUnspecified() || address.Port() == 0) {
-			c.add(CodeBadAddress, listed.key, "write the IP and port by which others call it", "%q can't be called by others", listed.value)
+		if setting.public && (address.Addr().IsUnspecified() || address.Port() == 0) {
+			c.add(CodeBadAddress, setting.key, "write the IP and port at which others reach it", "%q is not reachable for others", setting.value)
 		}
-		if owner, taken := owners[address]; taken {
-			c.add(CodeClash, listed.key, "give each its own port", "%s is the address of %s as well", address, owner)
+		if owner, taken := usedBy[address]; taken {
+			c.add(CodeClash, setting.key, "give each listener and the target a port of its own", "%s is also the address of %s", address, owner)
 		}
-		owners[address] = listed.key
+		usedBy[address] = setting.key
 	}
 	c.seeds(s)
 }
@@ -154,18 +154,18 @@
 		key := fmt.Sprintf("peers.seeds[%d]", i)
 		c.address(key, seed)
 		if slices.Index(s.Peers.Seeds, seed) != i {
-			c.warn(key, "name each seed once", "%s stands twice", seed)
+			c.warn(key, "list each seed once", "seed %s is listed twice", seed)
 		}
 	}
 	if len(s.Peers.Seeds) == 0 {
-		c.warn("peers.seeds", "name a peer of each failure domain", "without seeds a process that starts while the platform is down finds no peer")
+		c.warn("peers.seeds", "list a peer of each failure domain", "without seeds, a node that starts during a platform outage finds no peers")
 	}
 }
 
 func (c *checker) address(key, value string) (netip.AddrPort, bool) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		c.add(CodeBadAddress, key, "write IP:PORT, for example 10.0.0.7:8080", "%q is no address", value)
+		c.add(CodeBadAddress, key, "write IP:PORT, for example 10.0.0.7:8080", "%q is not a valid address", value)
 	}
 	return address, err == nil
 }
@@ -176,38 +176,38 @@
 	}
 	parsed, err := url.Parse(value)
 	if err != nil || parsed.Host == "" || (parsed.Scheme != "http" && parsed.Scheme != "https") {
-		c.add(CodeBadURL, "platform.url", "write http://IP:PORT", "%q is no URL", value)
+		c.add(CodeBadURL, "platform.url", "write http://IP:PORT", "%q is not a valid URL", value)
 	}
 }
 
 func (c *checker) certificates(p *Peers) {
-	c.named("peers.certificate_file", p.CertificateFile)
-	c.named("peers.key_file", p.KeyFile)
+	c.file("peers.certificate_file", p.CertificateFile)
+	c.file("peers.key_file", p.KeyFile)
 	if len(p.AuthorityFiles) == 0 {
-		c.add(CodeMissing, "peers.authority_files", "name the authority that signs peers", "a value is required")
+		c.add(CodeMissing, "peers.authority_files", "list the authority that signs peer certificates", "a value is required")
 	}
 	for i, name := range p.AuthorityFiles {
-		c.named(fmt.Sprintf("peers.authority_files[%d]", i), name)
+		c.file(fmt.Sprintf("peers.authority_files[%d]", i), name)
 	}
 }
 
-func (c *checker) named(key, name string) {
+func (c *checker) file(key, name string) {
 	if !c.required(key, name) {
 		return
 	}
-	if err := c.readable(name); err != nil {
-		c.add(CodeUnreadable, key, "name a file that this process can read", "%v", err)
+	if err := c.checkReadable(name); err != nil {
+		c.add(CodeUnreadable, key, "set the path of a file that this process can read", "%v", err)
 	}
 }
 
 func (c *checker) positive(key string, value int64) {
 	if value <= 0 {
-		c.add(CodeOutOfRange, key, "give a value above zero", "must be above zero")
+		c.add(CodeOutOfRange, key, "set a value above zero", "must be above zero")
 	}
 }
 
 func (c *checker) notNegative(key string, value int64) {
 	if value < 0 {
-		c.add(CodeOutOfRange, key, "give zero or more", "must not be below zero")
+		c.add(CodeOutOfRange, key, "set zero or more", "must not be below zero")
 	}
 }
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads tamarackd's TOML file. Every fault of form and of
-// meaning is found in one pass and reported with its line.
+// Package settings reads tamarackd's settings file, which is in TOML. Syntax and semantic
+// findings are returned together, each with its line.
 package settings
 
 import (
@@ -10,7 +10,7 @@
 	"tamarackquay/internal/tomlfile"
 )
 
-// Settings is the whole file.
+// Settings is the content of a settings file.
 type Settings struct {
 	VM       VM       `toml:"vm"`
 	Listen   Listen   `toml:"listen"`
@@ -20,11 +20,11 @@
 	Requests Requests `toml:"requests"`
 	Log      Log      `toml:"log"`
 
-	// Warnings are findings that don't keep the process from starting.
+	// Warnings are findings that don't prevent the process from starting.
 	Warnings finding.List `toml:"-"`
 }
 
-// VM says where the process runs.
+// VM identifies the VM on which the process runs.
 type VM struct {
 	ID            string `toml:"id"`
 	FailureDomain string `toml:"failure_domain"`
@@ -39,38 +39,38 @@
 	Operators string `toml:"operators"`
 }
 
-// Target is the VM's own upstream.
+// Target configures the VM's own target.
 type Target struct {
 	Address string `toml:"address"`
-	// MaxConnections bounds the connections that the node opens to it.
+	// MaxConnections limits the connections that the node opens to the target.
 	MaxConnections int `toml:"max_connections"`
 }
 
-// Platform says where the platform's service is read.
+// Platform configures how the platform is read, and how versions are distributed from it.
 type Platform struct {
 	URL          string            `toml:"url"`
 	ReadTimeout  tomlfile.Duration `toml:"read_timeout"`
 	WatchTimeout tomlfile.Duration `toml:"watch_timeout"`
 	ListInterval tomlfile.Duration `toml:"list_interval"`
-	// Readers is how many nodes of a region watch the platform.
+	// Readers is the number of nodes of a region that watch the platform.
 	Readers int `toml:"readers"`
-	// StartSpread is the time over which processes that start together spread
+	// StartSpread is the time over which processes that start at the same time spread
 	// their first reads.
 	StartSpread tomlfile.Duration `toml:"start_spread"`
-	// Patience is the policy between convergence time and cross-region bytes:
-	// how long a version overheard from another region waits for a nearer
-	// source. docs/design/distribution.md has its curve.
+	// CrossRegionDelay is how long a node waits for a nearer source of a version that was
+	// announced from another region. It trades convergence time for cross-region traffic;
+	// docs/design/distribution.md shows the curve.
 	CrossRegionDelay tomlfile.Duration `toml:"patience"`
-	// Redundancy is how many paths lead a version to each node.
+	// Redundancy is the number of paths on which a version reaches each node.
 	Redundancy int `toml:"redundancy"`
 }
 
-// Peers holds the proof of being a peer and the times of heartbeats.
+// Peers configures the authentication of peers and the membership protocol.
 type Peers struct {
 	CertificateFile string `toml:"certificate_file"`
 	KeyFile         string `toml:"key_file"`
-	// AuthorityFiles lists all accepted authorities; during a rotation the
-	// old and the new one stand here together.
+	// AuthorityFiles lists all accepted authorities. During a rotation it contains both the
+	// old and the new one.
 	AuthorityFiles []string          `toml:"authority_files"`
 	Seeds          []string          `toml:"seeds"`
 	Heartbeat      tomlfile.Duration `toml:"heartbeat"`
@@ -78,7 +78,7 @@
 	ForgetAfter    tomlfile.Duration `toml:"forget_after"`
 }
 
-// Requests bounds the path of requests.
+// Requests limits the handling of requests.
 type Requests struct {
 	QueuePerSlot   int               `toml:"queue_per_slot"`
 	MaxAttempts    int               `toml:"max_attempts"`
@@ -87,12 +87,12 @@
 	Drain          tomlfile.Duration `toml:"drain"`
 }
 
-// Log sets the log stream on standard error.
+// Log configures the log on standard error.
 type Log struct {
 	Level string `toml:"level"`
 }
 
-// Default returns the settings that a file need not name.
+// Default returns the default values of optional settings.
 func Default() Settings {
 	return Settings{
 		Target: Target{MaxConnections: 100},
@@ -121,34 +121,34 @@
 	}
 }
 
-// Load reads and checks a file, and that the files it names can be read. The
-// settings are usable only when no findings are returned.
+// Load reads and checks a settings file. It also checks that the files listed in it can be
+// read. The settings are usable only if no findings are returned.
 func Load(file string) (Settings, finding.List) {
 	source, err := os.ReadFile(file)
 	if err != nil {
-		return Settings{}, finding.List{{Code: finding.CodeUnreadable, File: file, Problem: err.Error(), Hint: "name a file that can be read"}}
+		return Settings{}, finding.List{{Code: finding.CodeUnreadable, File: file, Problem: err.Error(), Hint: "set the path of a file that can be read"}}
 	}
-	return parse(file, source, isReadable)
+	return parse(file, source, checkReadable)
 }
 
-// Parse checks the text of a settings file. It reads no other file.
+// Parse checks the text of a settings file. It does not read the files listed in it.
 func Parse(file string, source []byte) (Settings, finding.List) {
 	return parse(file, source, func(string) error { return nil })
 }
 
-func parse(file string, source []byte, readable func(string) error) (Settings, finding.List) {
+func parse(file string, source []byte, checkReadable func(string) error) (Settings, finding.List) {
 	s := Default()
-	lines, form := tomlfile.Decode(file, source, &s)
-	c := &checker{file: file, lines: lines, form: form, readable: readable}
+	lines, syntaxFindings := tomlfile.Decode(file, source, &s)
+	c := &checker{fileName: file, lines: lines, syntaxFindings: syntaxFindings, checkReadable: checkReadable}
 	c.check(&s)
-	found := append(form, c.found...)
-	found.Sort()
+	findings := append(syntaxFindings, c.findings...)
+	findings.Sort()
 	c.warnings.Sort()
 	s.Warnings = c.warnings
-	return s, found
+	return s, findings
 }
 
-func isReadable(name string) error {
+func checkReadable(name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return err
--- a/internal/adapter/settings/settings_test.go
+++ b/internal/adapter/settings/settings_test.go
@@ -11,10 +11,10 @@
 	"tamarackquay/internal/finding"
 )
 
-// An operator who made five mistakes is told of all five at once, each with
-// its line; the daemon does not start. Five restarts to find five faults would
-// cost an outage its first half hour.
-func TestFiveFaultsAreReportedTogether(t *testing.T) {
+// Guards against reporting only the first fault of a settings file: with five faults, the
+// operator would need five restarts to find them all, which during an outage could take half
+// an hour. All five must be reported at once, each with its line.
+func TestAllFaultsAreReportedTogether(t *testing.T) {
 	source := `[vm]
 id = "vm-1"
 failure_domain = 7
@@ -45,8 +45,8 @@
 	assert.DeepEqual(t, lines, []int{3, 7, 12, 15, 20})
 }
 
-// good is a file that names only the places.
-const good = `[vm]
+// validSettings sets only what has no default: addresses, ids, files and seeds.
+const validSettings = `[vm]
 id = "vm-1"
 failure_domain = "north-1"
 region = "north"
@@ -66,14 +66,14 @@
 seeds = ["127.0.0.1:6"]
 `
 
-func TestDefaultsNeedOnlyThePlaces(t *testing.T) {
-	s, found := Parse("node.toml", []byte(good))
+func TestDefaultsNeedOnlyAddresses(t *testing.T) {
+	s, found := Parse("node.toml", []byte(validSettings))
 	assert.NilError(t, found.AsError())
 	assert.Equal(t, len(s.Warnings), 0, "%v", s.Warnings)
 }
 
-// The example is what a first node's settings are copied from.
-func TestExampleIsGood(t *testing.T) {
+// Guards against an invalid example file: operators copy it to configure their first node.
+func TestExampleIsValid(t *testing.T) {
 	const name = "../../../examples/node.toml"
 	source, err := os.ReadFile(name)
 	assert.NilError(t, err)
@@ -89,17 +89,17 @@
 		code     finding.Code
 		line     int
 	}{
-		{"listeners clash", "127.0.0.1:2", "127.0.0.1:1", CodeClash, 8},
-		{"target is a listener", "127.0.0.1:4", "127.0.0.1:1", CodeClash, 11},
-		{"address that peers can't call", "127.0.0.1:2", "0.0.0.0:2", CodeBadAddress, 8},
-		{"port that callers can't call", "127.0.0.1:1", "127.0.0.1:0", CodeBadAddress, 7},
+		{"two listeners with one address", "127.0.0.1:2", "127.0.0.1:1", CodeClash, 8},
+		{"target with a listener's address", "127.0.0.1:4", "127.0.0.1:1", CodeClash, 11},
+		{"address that peers can't reach", "127.0.0.1:2", "0.0.0.0:2", CodeBadAddress, 8},
+		{"port that callers can't reach", "127.0.0.1:1", "127.0.0.1:0", CodeBadAddress, 7},
 		{"URL without scheme", "http://127.0.0.1:5", "127.0.0.1:5", CodeBadURL, 13},
 		{"id with a blank", "vm-1", "vm 1", CodeBadName, 2},
 		{"bad seed", "127.0.0.1:6", "somewhere", CodeBadAddress, 18},
-		{"key stands twice", `id = "vm-1"`, "id = \"vm-1\"\nid = \"vm-2\"", finding.CodeRepeated, 3},
+		{"repeated key", `id = "vm-1"`, "id = \"vm-1\"\nid = \"vm-2\"", finding.CodeRepeated, 3},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			_, found := Parse("node.toml", []byte(strings.Replace(good, test.from, test.to, 1)))
+			_, found := Parse("node.toml", []byte(strings.Replace(validSettings, test.from, test.to, 1)))
 			assert.Equal(t, len(found), 1, "%v", found)
 			assert.Equal(t, found[0].Code, test.code)
 			assert.Equal(t, found[0].Line, test.line, "%v", found)
@@ -107,12 +107,12 @@
 	}
 }
 
-// A daemon that starts and then fails on a missing key file is found by the
-// operator's supervisor; one checked before is found by the operator.
+// Guards against detecting an unreadable file only after the start: the daemon would fail
+// under its supervisor, where the operator may not notice it.
 func TestLoadFindsUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "node.toml")
-	assert.NilError(t, os.WriteFile(file, []byte(strings.ReplaceAll(good, `"c"`, `"`+file+`"`)), 0o600))
+	assert.NilError(t, os.WriteFile(file, []byte(strings.ReplaceAll(validSettings, `"c"`, `"`+file+`"`)), 0o600))
 	_, found := Load(file)
 	assert.Equal(t, len(found), 2, "%v", found)
 	for _, f := range found {
@@ -120,17 +120,17 @@
 	}
 }
 
-func TestWarningsDoNotRefuse(t *testing.T) {
-	text := strings.Replace(good, `seeds = ["127.0.0.1:6"]`, "suspect_after = \"1500ms\"", 1)
+func TestWarningsDoNotReject(t *testing.T) {
+	text := strings.Replace(validSettings, `seeds = ["127.0.0.1:6"]`, "suspect_after = \"1500ms\"", 1)
 	s, found := Parse("node.toml", []byte(text))
 	assert.NilError(t, found.AsError())
 	assert.Equal(t, len(s.Warnings), 2, "%v", s.Warnings)
 }
 
-// FuzzParse: no text may end the process, and each finding must name its file
-// and code.
+// FuzzParse guards against input that makes the parser panic, and against findings without
+// file or code.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("[vm]\nid = 7\n[vm]\n"))
 	f.Add([]byte("[peers]\nseeds = [1, \"\", [2]]\nheartbeat = \"-1s\""))
 	f.Add([]byte("vm.id = \"a\"\nvm = 3\n[[vm]]"))
@@ -145,10 +145,11 @@
 	})
 }
 
-// A policy that can't work is found before the node starts: a negative patience
-// would never wait, and no path would leave all news to chance.
-func TestPolicyOfDistributionIsChecked(t *testing.T) {
-	source := strings.Replace(good, "[peers]", "patience = \"-1s\"\nredundancy = 0\nstart_spread = \"-1s\"\n[peers]", 1)
+// Guards against starting a node with distribution settings that can't work: with a negative
+// patience it would never wait for a nearer source, and with a redundancy of zero no path
+// would be certain to deliver a version.
+func TestDistributionSettingsAreChecked(t *testing.T) {
+	source := strings.Replace(validSettings, "[peers]", "patience = \"-1s\"\nredundancy = 0\nstart_spread = \"-1s\"\n[peers]", 1)
 	_, found := Parse("node.toml", []byte(source))
 	keys := []string{}
 	for _, f := range found {
