--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -7,12 +7,12 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines maps a key's dotted path, such as "grant[1].share", to its 1-based
-// line in the source.
+// Lines maps the dotted path of a key, such as "grant[1].share", to its 1-based line in the
+// source.
 type Lines map[string]int
 
-// Of returns the line of key or, when the key is absent, of its closest
-// parent that is present; 0 when there is none.
+// Of returns the line of a key. If the key is absent, it returns the line of the closest
+// parent that is present, or 0 if there is none.
 func (l Lines) Of(key string) int {
 	for key != "" {
 		if line, ok := l[key]; ok {
@@ -27,14 +27,14 @@
 	return 0
 }
 
-// index is what is known of a source before it is decoded.
+// index holds the line of each key in a source and the kind of its value. It is built before
+// the source is decoded.
 type index struct {
 	lines Lines
 	kinds map[string]unstable.Kind
 }
 
-// indexer records the line of each key, and the kind of its value, up to the
-// first fault of syntax.
+// indexer builds an index up to the first syntax error.
 type indexer struct {
 	index
 	parser unstable.Parser
@@ -42,16 +42,16 @@
 	prefix string
 }
 
-func indexOf(source []byte) index {
+func buildIndex(source []byte) index {
 	x := &indexer{index: index{lines: Lines{}, kinds: map[string]unstable.Kind{}}, counts: map[string]int{}}
 	x.parser.Reset(source)
 	for x.parser.NextExpression() {
-		x.expression(x.parser.Expression())
+		x.addExpression(x.parser.Expression())
 	}
 	return x.index
 }
 
-func (x *indexer) expression(node *unstable.Node) {
+func (x *indexer) addExpression(node *unstable.Node) {
 	path, line := keyPath(&x.parser, node)
 	switch node.Kind {
 	case unstable.Table:
@@ -63,36 +63,36 @@
 		x.counts[base]++
 		x.lines[x.prefix] = line
 	case unstable.KeyValue:
-		x.keyValue(x.prefix, node)
+		x.addKeyValue(x.prefix, node)
 	}
 }
 
-func (x *indexer) keyValue(prefix string, node *unstable.Node) {
+func (x *indexer) addKeyValue(prefix string, node *unstable.Node) {
 	path, line := keyPath(&x.parser, node)
-	x.value(join(prefix, strings.Join(path, ".")), line, node.Value())
+	x.addValue(join(prefix, strings.Join(path, ".")), line, node.Value())
 }
 
-// value records a value and what stands inside it: inline tables and the
-// elements of arrays have keys of their own.
-func (x *indexer) value(key string, line int, value *unstable.Node) {
+// addValue adds a value and the values inside it: the entries of inline tables and the elements
+// of arrays have keys of their own.
+func (x *indexer) addValue(key string, line int, value *unstable.Node) {
 	x.lines[key] = line
 	x.kinds[key] = value.Kind
 	children := value.Children()
 	switch value.Kind {
 	case unstable.InlineTable:
 		for children.Next() {
-			x.keyValue(key, children.Node())
+			x.addKeyValue(key, children.Node())
 		}
 	case unstable.Array:
 		for n := 0; children.Next(); n++ {
 			element := children.Node()
-			x.value(fmt.Sprintf("%s[%d]", key, n), x.lineOf(element, line), element)
+			x.addValue(fmt.Sprintf("%s[%d]", key, n), x.lineOf(element, line), element)
 		}
 	}
 }
 
-// lineOf is the line on which a node stands; some nodes carry no place, and
-// stand in for their parent's.
+// lineOf returns the line of a node. Some nodes have no position; for these it returns the line
+// of the parent.
 func (x *indexer) lineOf(node *unstable.Node, parent int) int {
 	if node.Raw.Length == 0 {
 		return parent
@@ -113,8 +113,8 @@
 	return path, line
 }
 
-// qualify writes path with the current position of each array of tables that
-// it passes through: under the second [[grant]], "grant.x" is "grant[1].x".
+// qualify returns the dotted path with the current index of each array of tables that it
+// passes through: under the second [[grant]], "grant.x" becomes "grant[1].x".
 func qualify(path []string, counts map[string]int) string {
 	name := ""
 	for i, part := range path {
--- a/internal/tomlfile/time.go
+++ b/internal/tomlfile/time.go
@@ -10,39 +10,40 @@
 	"tamarackquay/internal/finding"
 )
 
-// position matches an array position in a key.
-var position = regexp.MustCompile(`\[\d+\]`)
+// arrayIndex matches an array index in a key.
+var arrayIndex = regexp.MustCompile(`\[\d+\]`)
 
-// takeOutBadTimes reports times that are not written as text, and blanks their
-// lines. The library would take the integer 30 for 30 nanoseconds without a
-// word, and ends at a boolean without naming its line.
-func takeOutBadTimes(file string, index index, text []byte, target any) finding.List {
-	times := map[string]bool{}
-	collectTimes("", reflect.TypeOf(target).Elem(), times)
+// rejectNonStringDurations reports durations that are not written as strings, and blanks their
+// lines. The library would silently decode the integer 30 as 30 nanoseconds, and would stop
+// at a boolean with an error that has no line.
+func rejectNonStringDurations(file string, index index, text []byte, target any) finding.List {
+	durationKeys := map[string]bool{}
+	collectDurationKeys("", reflect.TypeOf(target).Elem(), durationKeys)
 	var found finding.List
 	for key, kind := range index.kinds {
-		if kind == unstable.String || !times[position.ReplaceAllString(key, "[]")] {
+		if kind == unstable.String || !durationKeys[arrayIndex.ReplaceAllString(key, "[]")] {
 			continue
 		}
 		found = append(found, finding.Finding{Code: finding.CodeType, File: file, Line: index.lines[key], Key: key,
-			Problem: "a time is wanted, this is of type " + strings.ToLower(kind.String()), Hint: "write text with a unit, such as \"15s\" or \"250ms\""})
+			Problem: "a time is wanted, this is of type " + strings.ToLower(kind.String()), Hint: "write a string with a unit, such as \"15s\" or \"250ms\""})
 		blankLine(text, index.lines[key])
 	}
 	return found
 }
 
-// collectTimes lists the keys of a struct that hold times: "item[].wait".
-func collectTimes(prefix string, of reflect.Type, times map[string]bool) {
+// collectDurationKeys adds the keys of a struct that hold durations to durationKeys, in the form
+// "item[].wait".
+func collectDurationKeys(prefix string, typ reflect.Type, durationKeys map[string]bool) {
 	switch {
-	case of == reflect.TypeFor[Duration]():
-		times[prefix] = true
-	case of.Kind() == reflect.Slice:
-		collectTimes(prefix+"[]", of.Elem(), times)
-	case of.Kind() == reflect.Struct:
-		for i := range of.NumField() {
-			key, _, _ := strings.Cut(of.Field(i).Tag.Get("toml"), ",")
+	case typ == reflect.TypeFor[Duration]():
+		durationKeys[prefix] = true
+	case typ.Kind() == reflect.Slice:
+		collectDurationKeys(prefix+"[]", typ.Elem(), durationKeys)
+	case typ.Kind() == reflect.Struct:
+		for i := range typ.NumField() {
+			key, _, _ := strings.Cut(typ.Field(i).Tag.Get("toml"), ",")
 			if key != "" && key != "-" {
-				collectTimes(join(prefix, key), of.Field(i).Type, times)
+				collectDurationKeys(join(prefix, key), typ.Field(i).Type, durationKeys)
 			}
 		}
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile decodes TOML into structs and reports every fault with its
-// line, where the library alone stops at the first wrong type.
+// Package tomlfile decodes TOML into structs and reports all faults with their lines. The
+// underlying library stops at the first value of a wrong type.
 package tomlfile
 
 import (
@@ -14,14 +14,15 @@
 	"tamarackquay/internal/finding"
 )
 
-// MaxFaults bounds how many faults one file reports; past it the file is
-// reported as it stands.
+// MaxFindings is the number of findings in a file after which decoding stops. Later faults are
+// not reported.
 const MaxFindings = 100
 
-// Duration is a time.Duration written as text in TOML ("250ms", "15s").
+// Duration is a time.Duration that is written as a string in TOML ("250ms", "15s").
 type Duration time.Duration
 
-// UnmarshalText parses the form that time.ParseDuration takes.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts the format of
+// time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -31,21 +32,21 @@
 	return nil
 }
 
-// MarshalText renders the form that time.ParseDuration takes.
+// MarshalText implements encoding.TextMarshaler. It returns the format of time.ParseDuration.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Std returns the duration as the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Decode reads source into target, a pointer to a struct. It returns every
-// fault of syntax, type and unknown key, and an index of the lines on which
-// keys stand, for the checks of meaning that follow.
+// Decode decodes source into target, a pointer to a struct. It returns findings for all syntax
+// errors, wrong types and unknown keys, and the lines of all keys, which semantic checks use
+// for their findings.
 func Decode(file string, source []byte, target any) (Lines, finding.List) {
-	index := indexOf(source)
+	index := buildIndex(source)
 	text := bytes.Clone(source)
-	found := takeOutBadTimes(file, index, text, target)
+	found := rejectNonStringDurations(file, index, text, target)
 	for len(found) < MaxFindings {
 		err := decodeStrict(text, target)
 		if err == nil {
@@ -56,15 +57,15 @@
 			found = append(found, unknownKeys(file, strict)...)
 			break
 		}
-		var fault *toml.DecodeError
-		if !errors.As(err, &fault) {
+		var decodeErr *toml.DecodeError
+		if !errors.As(err, &decodeErr) {
 			found = append(found, finding.Finding{Code: finding.CodeSyntax, File: file, Problem: err.Error()})
 			break
 		}
-		row, _ := fault.Position()
-		found = append(found, decodeFault(file, row, fault))
-		// The decoder stops at the first fault. Blanking its line lets the
-		// next pass reach the next fault while line numbers stay true.
+		row, _ := decodeErr.Position()
+		found = append(found, decodeFault(file, row, decodeErr))
+		// The decoder stops at the first fault. Blanking the line of the fault lets the next
+		// pass reach the next one without changing the line numbers.
 		if !blankLine(text, row) {
 			break
 		}
@@ -77,43 +78,43 @@
 	return toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 }
 
-// wrongType matches the library's message for a value of the wrong type, which
-// names the Go type and field that an operator has never seen.
-var wrongType = regexp.MustCompile(`^cannot decode TOML (\S+) into struct field \S+ of type (\S+)$`)
+// typeErrorPattern matches the library's message for a value of the wrong type. It contains the
+// Go type and field, which operators don't know.
+var typeErrorPattern = regexp.MustCompile(`^cannot decode TOML (\S+) into struct field \S+ of type (\S+)$`)
 
-// tomlNames are the TOML words for the Go types that files decode into.
-var tomlNames = map[string]string{
+// tomlTypeNames describes, in terms of TOML, the Go types that files are decoded into.
+var tomlTypeNames = map[string]string{
 	"string": "a string", "int": "an integer", "int64": "an integer", "float64": "a number", "bool": "true or false",
 	"[]string": "an array of strings", "tomlfile.Duration": "a time such as \"15s\"",
 }
 
-// inTOMLWords rewrites a message about a wrong type in the words of the file.
-func inTOMLWords(problem string) string {
-	match := wrongType.FindStringSubmatch(problem)
+// describeTypeError replaces the Go types in a message about a wrong type by terms of TOML.
+func describeTypeError(problem string) string {
+	match := typeErrorPattern.FindStringSubmatch(problem)
 	if match == nil {
 		return problem
 	}
-	wanted, ok := tomlNames[match[2]]
+	expected, ok := tomlTypeNames[match[2]]
 	if !ok {
-		wanted = "another type"
+		expected = "another type"
 	}
-	return "this is of type " + match[1] + ", " + wanted + " is wanted"
+	return "this is of type " + match[1] + ", " + expected + " is required"
 }
 
-// repeatedKey is in the library's message for keys and tables that stand twice;
-// it has no error of its own for them.
-const repeatedKey = "already"
+// repeatedKeyText is part of the library's message for repeated keys and tables. The library has
+// no separate error type for them.
+const repeatedKeyText = "already"
 
-func decodeFault(file string, row int, fault *toml.DecodeError) finding.Finding {
-	key := strings.Join(fault.Key(), ".")
-	problem := inTOMLWords(strings.TrimPrefix(fault.Error(), "toml: "))
-	if strings.Contains(problem, repeatedKey) {
+func decodeFault(file string, row int, decodeErr *toml.DecodeError) finding.Finding {
+	key := strings.Join(decodeErr.Key(), ".")
+	problem := describeTypeError(strings.TrimPrefix(decodeErr.Error(), "toml: "))
+	if strings.Contains(problem, repeatedKeyText) {
 		return finding.Finding{Code: finding.CodeRepeated, File: file, Line: row, Key: key, Problem: problem,
 			Hint: "keep one of them"}
 	}
 	if key == "" {
 		return finding.Finding{Code: finding.CodeSyntax, File: file, Line: row, Problem: problem,
-			Hint: "write a value that TOML accepts"}
+			Hint: "write a valid TOML value"}
 	}
 	return finding.Finding{Code: finding.CodeType, File: file, Line: row, Key: key, Problem: problem,
 		Hint: "write a value of the type that this key takes"}
@@ -122,20 +123,20 @@
 func unknownKeys(file string, strict *toml.StrictMissingError) finding.List {
 	var found finding.List
 	for i := range strict.Errors {
-		fault := &strict.Errors[i]
-		row, _ := fault.Position()
+		missing := &strict.Errors[i]
+		row, _ := missing.Position()
 		found = append(found, finding.Finding{
 			Code: finding.CodeUnknownKey, File: file, Line: row,
-			Key:     strings.Join(fault.Key(), "."),
-			Problem: "no such key",
+			Key:     strings.Join(missing.Key(), "."),
+			Problem: "unknown key",
 			Hint:    "remove the key or correct its spelling",
 		})
 	}
 	return found
 }
 
-// blankLine overwrites the 1-based row with spaces. It reports whether it
-// changed anything, so that decoding cannot loop on a fault without a line.
+// blankLine overwrites the 1-based row with spaces. It reports whether the text changed, so that
+// decoding can't loop forever on a fault without a line.
 func blankLine(text []byte, row int) bool {
 	start := 0
 	for n := 1; n < row; n++ {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -21,11 +21,11 @@
 	} `toml:"item"`
 }
 
-// An operator writes drain = 30 and means seconds. It was taken as 30
-// nanoseconds without a word: a planned stop then cut every download. A time
-// written as true ended the check of the whole file, so that the unknown table
-// below it was not reported either.
-func TestTimesMustBeText(t *testing.T) {
+// Guards against durations that are not strings. An operator wrote drain = 30 and meant seconds;
+// it was silently decoded as 30 nanoseconds, and a planned stop interrupted all downloads. A
+// duration written as true ended the check of the file, so that the unknown table below it
+// was not reported either.
+func TestDurationsMustBeStrings(t *testing.T) {
 	source := `wait = 30
 name = "x"
 [inner]
