--- a/internal/adapter/platformhttp/platformhttp.go
+++ b/internal/adapter/platformhttp/platformhttp.go
@@ -1,8 +1,7 @@
-// Package platformhttp reads the platform's configuration service and VM list
-// over HTTP, as the platform publishes them:
+// Package platformhttp reads the platform's configuration service and VM list over HTTP:
 //
-//	GET /v1/config/KEY               the value, its revision in Revision
-//	GET /v1/config/KEY?after=N       the same once its revision passes N, or 304
+//	GET /v1/config/KEY               the value; the Revision header has its revision
+//	GET /v1/config/KEY?after=N       the same once its revision is above N, or 304
 //	GET /v1/vms                      the VM list as JSON
 package platformhttp
 
@@ -25,53 +24,52 @@
 const (
 	manifestKey    = "manifest"
 	revisionHeader = "Revision"
-	// maxListBytes bounds the VM list: 1,600 VMs take about 400 KB.
+	// maxListBytes limits the VM list. The list of 1,600 VMs has about 400 KB.
 	maxListBytes = 4 << 20
 )
 
-// Client implements port.Platform.
+// Client is a client of the platform. It implements port.Platform.
 type Client struct {
 	base string
 	http *http.Client
-	// read bounds a plain read; watch bounds a waiting one and must be above
-	// the platform's own wait.
-	read  time.Duration
-	watch time.Duration
+	// readTimeout limits a read. watchTimeout limits a watch and must be longer than the
+	// platform's own watch timeout.
+	readTimeout  time.Duration
+	watchTimeout time.Duration
 }
 
 var _ port.Platform = (*Client)(nil)
 
-// New returns a client of the platform at base, for example
-// "http://10.0.0.5:7000".
+// New returns a client of the platform at a base URL, for example "http://10.0.0.5:7000".
 func New(base string, read, watch time.Duration) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: read}).DialContext,
 		MaxIdleConnsPerHost: 4,
 		IdleConnTimeout:     time.Minute,
 	}
-	return &Client{base: base, http: &http.Client{Transport: transport}, read: read, watch: watch}
+	return &Client{base: base, http: &http.Client{Transport: transport}, readTimeout: read, watchTimeout: watch}
 }
 
 // Manifest implements port.Platform.
 func (c *Client) Manifest(ctx context.Context) (port.Value, error) {
-	return c.get(ctx, c.read, "/v1/config/"+manifestKey, snapshot.MaxPartBytes)
+	return c.get(ctx, c.readTimeout, "/v1/config/"+manifestKey, snapshot.MaxPartBytes)
 }
 
 // WatchManifest implements port.Platform.
 func (c *Client) WatchManifest(ctx context.Context, after uint64) (port.Value, error) {
 	path := "/v1/config/" + manifestKey + "?after=" + strconv.FormatUint(after, 10)
-	return c.get(ctx, c.watch, path, snapshot.MaxPartBytes)
+	return c.get(ctx, c.watchTimeout, path, snapshot.MaxPartBytes)
 }
 
 // Part implements port.Platform.
 func (c *Client) Part(ctx context.Context, hash snapshot.Hash) ([]byte, error) {
-	value, err := c.get(ctx, c.read, "/v1/config/part/"+hash.String(), snapshot.MaxPartBytes)
+	value, err := c.get(ctx, c.readTimeout, "/v1/config/part/"+hash.String(), snapshot.MaxPartBytes)
 	return value.Content, err
 }
 
 // VMs implements port.Platform.
 func (c *Client) VMs(ctx context.Context) ([]membership.Record, error) {
-	value, err := c.get(ctx, c.read, "/v1/vms", maxListBytes)
+	value, err := c.get(ctx, c.readTimeout, "/v1/vms", maxListBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -81,12 +79,12 @@
 	}
 	records := make([]membership.Record, len(list))
 	for i := range list {
-		records[i] = list[i].record()
+		records[i] = list[i].toRecord()
 	}
 	return records, nil
 }
 
-// Listed is one VM of the platform's list.
+// VMEntry is an entry of the platform's VM list.
 type VMEntry struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
@@ -97,7 +95,7 @@
 	Departing     bool   `json:"departing"`
 }
 
-func (l *VMEntry) record() membership.Record {
+func (l *VMEntry) toRecord() membership.Record {
 	state := membership.Live
 	if l.Departing {
 		state = membership.Departing
@@ -130,20 +128,20 @@
 	case http.StatusNotFound:
 		return port.Value{}, port.ErrNotFound
 	default:
-		return port.Value{}, errors.Wrapf(port.ErrUnreachable, "platform answered %d", response.StatusCode)
+		return port.Value{}, errors.Wrapf(port.ErrUnreachable, "platform responded with status %d", response.StatusCode)
 	}
 	return readValue(response, maxBytes)
 }
 
-// readValue reads a whole value. An answer cut short ends in an error by its
-// Content-Length, so that half a manifest is never taken for a whole one.
+// readValue reads a complete value. A truncated response fails the check of its Content-Length,
+// so that an incomplete manifest is never used.
 func readValue(response *http.Response, maxBytes int64) (port.Value, error) {
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxBytes+1))
 	if err != nil {
-		return port.Value{}, errors.Wrap(port.ErrUnreachable, "platform answer was cut short: "+err.Error())
+		return port.Value{}, errors.Wrap(port.ErrUnreachable, "platform response is incomplete: "+err.Error())
 	}
 	if int64(len(content)) > maxBytes {
-		return port.Value{}, errors.Errorf("platform value is over %d bytes", maxBytes)
+		return port.Value{}, errors.Errorf("platform value is larger than %d bytes", maxBytes)
 	}
 	revision, _ := strconv.ParseUint(response.Header.Get(revisionHeader), 10, 64)
 	return port.Value{Revision: revision, Content: content}, nil
