--- a/internal/adapter/peertls/issue.go
+++ b/internal/adapter/peertls/issue.go
@@ -15,17 +15,16 @@
 	"github.com/pkg/errors"
 )
 
-// serialBits is the size of a random certificate serial number, as RFC 5280
-// allows it.
+// serialBits is the size of a certificate's random serial number, within the limit of RFC 5280.
 const serialBits = 127
 
-// Pair is a certificate with its key, both as PEM.
+// Pair is a certificate and its key, both as PEM.
 type Pair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// IssueAuthority makes a self-signed authority for peers.
+// IssueAuthority creates a self-signed certificate authority for peers.
 func IssueAuthority(name string, now time.Time, life time.Duration) (*Pair, error) {
 	template, key, err := newTemplate(name, now, life)
 	if err != nil {
@@ -37,7 +36,7 @@
 	return sign(template, template, key, key)
 }
 
-// IssuePeer makes a certificate that proves its holder to be a peer.
+// IssuePeer creates a peer certificate that is signed by the authority.
 func IssuePeer(authority *Pair, name string, now time.Time, life time.Duration) (*Pair, error) {
 	parent, err := tls.X509KeyPair(authority.Certificate, authority.Key)
 	if err != nil {
@@ -64,7 +63,7 @@
 	template := &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		// An hour of leeway for VMs whose clocks run behind.
+		// An hour of tolerance for VMs whose clocks are behind.
 		NotBefore: now.Add(-time.Hour),
 		NotAfter:  now.Add(life),
 	}
--- a/internal/adapter/peertls/peertls.go
+++ b/internal/adapter/peertls/peertls.go
@@ -1,7 +1,7 @@
-// Package peertls proves peers to each other by mutual TLS. A peer is whoever
-// holds a certificate signed by one of the authorities in the settings; several
-// are accepted at once, so that authorities can be rotated without a gap. The
-// certificate's common name is the VM's id.
+// Package peertls authenticates peers with mutual TLS. A peer is any process with a certificate
+// that is signed by one of the authorities in the settings. Several authorities can be
+// accepted at the same time, so that they can be rotated without interruption. The common
+// name of a peer certificate is the VM's id.
 package peertls
 
 import (
@@ -14,37 +14,39 @@
 	"github.com/pkg/errors"
 )
 
-// ErrAuthority says that a process uses an authority's certificate as its own.
+// ErrAuthority means that a process uses an authority's certificate as its own.
 var ErrAuthority = errors.New("an authority's certificate proves no peer")
 
-// ErrNoName says that a certificate names no VM.
+// ErrNoName means that a peer certificate contains no VM id.
 var ErrNoName = errors.New("peer certificate has no common name")
 
-// Files names the PEM files that a process proves itself with.
+// Files lists the PEM files with the certificate and key of a process and the accepted
+// authorities.
 type Files struct {
 	Certificate string
 	Key         string
 	Authorities []string
 }
 
-// Config holds the two sides of peer connections. Both use the proof that was
-// last loaded, for every new connection.
+// Config holds the TLS configuration of both sides of peer connections. Each new connection uses
+// the credentials loaded last.
 type Config struct {
 	Server *tls.Config
 	Client *tls.Config
 
-	files Files
-	proof atomic.Pointer[proof]
+	files       Files
+	credentials atomic.Pointer[credentials]
 }
 
-// proof is what a process proves itself and others with.
-type proof struct {
+// credentials holds the certificate of a process and the authorities with which it verifies
+// peers.
+type credentials struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool
 	server      *tls.Config
 }
 
-// Load reads the files and returns both sides' configuration.
+// Load reads the files and returns the configuration of both sides.
 func Load(files Files) (*Config, error) {
 	certificate, pool, err := read(files)
 	if err != nil {
@@ -67,72 +69,72 @@
 			return tls.Certificate{}, nil, errors.Wrap(err, "peer authority")
 		}
 		if !pool.AppendCertsFromPEM(raw) {
-			return tls.Certificate{}, nil, errors.Errorf("peer authority %s holds no certificate", name)
+			return tls.Certificate{}, nil, errors.Errorf("peer authority file %s contains no certificate", name)
 		}
 	}
 	return certificate, pool, nil
 }
 
-// New returns both sides' configuration for a certificate and its authorities.
+// New returns the configuration of both sides for a certificate and the accepted authorities.
 func New(certificate tls.Certificate, authorities *x509.CertPool) *Config {
 	c := &Config{}
-	c.use(certificate, authorities)
+	c.setCredentials(certificate, authorities)
 	c.Server = &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return c.proof.Load().server, nil
+			return c.credentials.Load().server, nil
 		},
 	}
 	c.Client = &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &c.proof.Load().certificate, nil
+			return &c.credentials.Load().certificate, nil
 		},
-		// VMs are replaced at the same addresses and named by number, so a
-		// certificate can't name its host. The chain to an authority is
-		// checked below in place of the host name; without that check any
-		// process on a reused address could pass for a peer.
+		// VMs are replaced at the same addresses and have numbers as names, so their
+		// certificates can't contain a host name. VerifyConnection checks the chain to
+		// an authority instead; without this check, any process at a reused address
+		// would be accepted as a peer.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return verifyPeer(state, c.proof.Load().authorities)
+			return verifyPeer(state, c.credentials.Load().authorities)
 		},
 	}
 	return c
 }
 
-func (c *Config) use(certificate tls.Certificate, authorities *x509.CertPool) {
-	c.proof.Store(&proof{certificate: certificate, authorities: authorities, server: &tls.Config{
+func (c *Config) setCredentials(certificate tls.Certificate, authorities *x509.CertPool) {
+	c.credentials.Store(&credentials{certificate: certificate, authorities: authorities, server: &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{certificate},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    authorities,
 		NextProtos:   []string{"http/1.1"},
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return refuseAuthority(state.PeerCertificates)
+			return rejectAuthority(state.PeerCertificates)
 		},
-		// A resumed session is not verified anew: it would outlive the
-		// authority that was taken out of the settings.
+		// A resumed session is not verified again, so it would still be accepted after
+		// its authority was removed from the settings.
 		SessionTicketsDisabled: true,
 	}})
 }
 
-// Reload reads the files again for all connections made from now on, and
-// reports whether they changed. On an error the old proof stays in use.
+// Reload reads the files again, for all new connections, and reports whether they have changed.
+// On an error, the old credentials stay in use.
 func (c *Config) Reload() (changed bool, err error) {
 	certificate, pool, err := read(c.files)
 	if err != nil {
 		return false, err
 	}
-	old := c.proof.Load()
+	old := c.credentials.Load()
 	sameCertificate := slices.EqualFunc(old.certificate.Certificate, certificate.Certificate, slices.Equal)
 	if sameCertificate && old.authorities.Equal(pool) {
 		return false, nil
 	}
-	c.use(certificate, pool)
+	c.setCredentials(certificate, pool)
 	return true, nil
 }
 
-// Name returns the VM id that the other side of a connection has proven.
+// VMID returns the VM id in the verified certificate of the other side of a connection.
 func VMID(state *tls.ConnectionState) (string, error) {
 	if state == nil || len(state.PeerCertificates) == 0 || state.PeerCertificates[0].Subject.CommonName == "" {
 		return "", ErrNoName
@@ -140,9 +142,9 @@
 	return state.PeerCertificates[0].Subject.CommonName, nil
 }
 
-// refuseAuthority refuses an authority as a peer: its key, left on a VM by
-// mistake, would let whoever takes that VM make peers of their own.
-func refuseAuthority(chain []*x509.Certificate) error {
+// rejectAuthority rejects a peer that uses an authority's certificate. If an authority's key were
+// left on a VM by mistake, an attacker with access to the VM could issue peer certificates.
+func rejectAuthority(chain []*x509.Certificate) error {
 	if len(chain) > 0 && chain[0].IsCA {
 		return ErrAuthority
 	}
@@ -153,7 +155,7 @@
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("peer showed no certificate")
 	}
-	if err := refuseAuthority(state.PeerCertificates); err != nil {
+	if err := rejectAuthority(state.PeerCertificates); err != nil {
 		return err
 	}
 	intermediates := x509.NewCertPool()
--- a/internal/adapter/peertls/peertls_test.go
+++ b/internal/adapter/peertls/peertls_test.go
@@ -20,8 +20,8 @@
 	return authority
 }
 
-// configOf returns the configuration of a peer that accepts the authorities.
-func configOf(t *testing.T, pair *Pair, accepts ...*Pair) *Config {
+// newConfig returns the configuration of a peer that accepts the authorities.
+func newConfig(t *testing.T, pair *Pair, accepts ...*Pair) *Config {
 	t.Helper()
 	certificate, err := tls.X509KeyPair(pair.Certificate, pair.Key)
 	assert.NilError(t, err)
@@ -39,7 +39,7 @@
 	return pair
 }
 
-// listen serves TLS and answers each connection that proves itself with a byte.
+// listen serves TLS and sends one byte on each connection after a successful handshake.
 func listen(t *testing.T, config *tls.Config) string {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", config)
@@ -62,9 +62,9 @@
 	return listener.Addr().String()
 }
 
-// meet returns nil when both sides accept each other. In TLS 1.3 the client
-// learns only by reading that the server refused its certificate.
-func meet(address string, config *tls.Config) error {
+// handshake returns nil if both sides accept each other. In TLS 1.3, the client has to read from
+// the connection to detect that the server rejected its certificate.
+func handshake(address string, config *tls.Config) error {
 	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: 2 * time.Second}, "tcp", address, config)
 	if err != nil {
 		return err
@@ -74,10 +74,10 @@
 	return err
 }
 
-// A process that is no peer must not reach the peers' listener, and a peer must
-// not take a stranger at a reused address for one: it would tell it of every
-// contract, and hand it calls.
-func TestOnlyPeersMeet(t *testing.T) {
+// Guards against accepting a process that is not a peer, either as a client of the peers'
+// listener or as a server at a reused address: a peer would send it all contracts and
+// forward calls to it.
+func TestOnlyPeersAreAccepted(t *testing.T) {
 	ours, theirs := issueAuthority(t, "ours"), issueAuthority(t, "theirs")
 	peer := issuePeer(t, ours, time.Now())
 	for _, tt := range []struct {
@@ -94,19 +94,19 @@
 		{desc: "a client that does not accept the server's authority", client: peer, accepts: []*Pair{theirs}},
 	} {
 		t.Run(tt.desc, func(t *testing.T) {
-			address := listen(t, configOf(t, peer, ours).Server)
-			err := meet(address, configOf(t, tt.client, tt.accepts...).Client)
+			address := listen(t, newConfig(t, peer, ours).Server)
+			err := handshake(address, newConfig(t, tt.client, tt.accepts...).Client)
 			assert.Equal(t, err == nil, tt.good, "%v", err)
 		})
 	}
 }
 
-// A process without a certificate is refused, as is one that speaks plain HTTP.
-func TestNoCertificateNoEntry(t *testing.T) {
+// Guards against accepting a client without a certificate, or one that uses plain HTTP.
+func TestClientWithoutCertificateIsRejected(t *testing.T) {
 	authority := issueAuthority(t, "ours")
-	address := listen(t, configOf(t, issuePeer(t, authority, time.Now()), authority).Server)
-	assert.Check(t, meet(address, &tls.Config{InsecureSkipVerify: true}) != nil)
-	assert.Check(t, meet(address, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}) != nil)
+	address := listen(t, newConfig(t, issuePeer(t, authority, time.Now()), authority).Server)
+	assert.Check(t, handshake(address, &tls.Config{InsecureSkipVerify: true}) != nil)
+	assert.Check(t, handshake(address, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}) != nil)
 	response, err := http.Get("http://" + address)
 	if err == nil {
 		response.Body.Close()
@@ -114,10 +114,11 @@
 	}
 }
 
-// The authority is rotated while the fleet runs: first all accept both, then
-// each gets a certificate of the new one, then the old one is taken out. At each
-// step every two peers meet; after the last, the old certificate is refused.
-func TestAuthorityIsRotatedWithoutAGap(t *testing.T) {
+// Guards against failed connections while the authority is rotated in a running fleet: first all
+// peers accept both authorities, then each gets a certificate of the new one, then the old
+// one is removed. In each step all peers must accept each other; after the last, the old
+// certificate must be rejected.
+func TestAuthorityIsRotatedWithoutInterruption(t *testing.T) {
 	before, after := issueAuthority(t, "before"), issueAuthority(t, "after")
 	oldPeer, newPeer := issuePeer(t, before, time.Now()), issuePeer(t, after, time.Now())
 	dir := t.TempDir()
@@ -132,7 +133,7 @@
 	server, err := Load(files)
 	assert.NilError(t, err)
 	address := listen(t, server.Server)
-	assert.NilError(t, meet(address, configOf(t, oldPeer, before).Client))
+	assert.NilError(t, handshake(address, newConfig(t, oldPeer, before).Client))
 	for _, step := range []struct {
 		pair     *Pair
 		accepts  []byte
@@ -146,8 +147,8 @@
 		changed, err := server.Reload()
 		assert.NilError(t, err)
 		assert.Check(t, changed)
-		assert.Equal(t, meet(address, configOf(t, oldPeer, before, after).Client) == nil, step.old)
-		assert.Equal(t, meet(address, configOf(t, newPeer, before, after).Client) == nil, step.new)
+		assert.Equal(t, handshake(address, newConfig(t, oldPeer, before, after).Client) == nil, step.old)
+		assert.Equal(t, handshake(address, newConfig(t, newPeer, before, after).Client) == nil, step.new)
 	}
 	changed, err := server.Reload()
 	assert.NilError(t, err)
@@ -155,5 +156,5 @@
 	write(newPeer, []byte("broken"))
 	_, err = server.Reload()
 	assert.Check(t, err != nil)
-	assert.NilError(t, meet(address, configOf(t, newPeer, after).Client), "broken files leave the old proof in use")
+	assert.NilError(t, handshake(address, newConfig(t, newPeer, after).Client), "the old credentials must stay in use if the files are broken")
 }
