--- a/internal/adapter/auditlog/auditlog.go
+++ b/internal/adapter/auditlog/auditlog.go
@@ -1,6 +1,6 @@
-// Package auditlog keeps the audit trail: a bounded number of events in memory
-// for operators' pages, and every event in the log stream, which is where the
-// trail outlives the process, since VMs keep nothing.
+// Package auditlog records the audit trail. A limited number of events is kept in memory for the
+// operators' pages, and every event is written to the log stream. VMs have no persistent
+// storage, so only the log stream preserves the trail after the process ends.
 package auditlog
 
 import (
@@ -12,15 +12,15 @@
 	"tamarackquay/internal/port"
 )
 
-// Capacity is how many events stay in memory: at 750 changes a day and a few
-// events each, several hours.
+// Capacity is the number of events kept in memory. With 750 changes a day and a few events for
+// each, this covers several hours.
 const Capacity = 2048
 
-// Stream marks the log lines of the audit trail, so that a collector can keep
-// them apart and for longer.
+// Stream is the value of the stream field in log lines of the audit trail. A log collector can
+// store these lines separately and for longer.
 const Stream = "audit"
 
-// Trail implements port.Audit. It is safe for concurrent use.
+// Trail is an audit trail. It implements port.Audit and is safe for concurrent use.
 type Trail struct {
 	log *log.Logger
 
@@ -31,12 +31,12 @@
 
 var _ port.Audit = (*Trail)(nil)
 
-// New returns an empty trail that writes to the logger.
+// New returns an empty trail that also writes its events to the logger.
 func New(logger *log.Logger) *Trail { return &Trail{log: logger} }
 
 // Record implements port.Audit.
 func (t *Trail) Record(event port.AuditEvent) {
-	t.log.Info().Str("stream", Stream).Object("event", logged(event)).Msg(string(event.Kind))
+	t.log.Info().Str("stream", Stream).Object("event", eventObject(event)).Msg(string(event.Kind))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.events) < Capacity {
@@ -47,7 +47,7 @@
 	t.next = (t.next + 1) % Capacity
 }
 
-// Events returns the kept events, oldest first.
+// Events returns the events in memory, oldest first.
 func (t *Trail) Events() []port.AuditEvent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,11 +56,11 @@
 	return append(events, t.events[:t.next]...)
 }
 
-// logged renders an event as an object of the log line.
-type logged port.AuditEvent
+// eventObject encodes an event as an object in a log line.
+type eventObject port.AuditEvent
 
 // MarshalObject implements log.ObjectMarshaler.
-func (l logged) MarshalObject(e *log.Entry) {
+func (l eventObject) MarshalObject(e *log.Entry) {
 	e.TimeFormat("time", time.RFC3339Nano, l.Time.UTC()).Str("vm", l.VM).Str("version", l.Version).Str("root", l.Root)
 	e.Str("from", l.From).Str("published_by", l.PublishedBy).Str("subject", l.Subject).Str("detail", l.Detail)
 	if l.PublishedAt != nil {
--- a/internal/adapter/auditlog/auditlog_test.go
+++ b/internal/adapter/auditlog/auditlog_test.go
@@ -14,10 +14,11 @@
 	"tamarackquay/internal/port"
 )
 
-// A version is refused for two findings. The log stream is where the trail
-// outlives the VM, and its readers keep one of two equal JSON keys: the second
-// finding was all that they saw.
-func TestLogLineCarriesEveryFinding(t *testing.T) {
+// Guards against log lines with a repeated JSON key. A version was rejected with two findings,
+// which were written under the same key. Readers of the log stream keep only one of two
+// equal keys, so the first finding was lost; the log stream is all that is left of the trail
+// after the VM is replaced.
+func TestLogLineContainsEveryFinding(t *testing.T) {
 	var out bytes.Buffer
 	trail := New(&log.Logger{Writer: &log.IOWriter{Writer: &out}})
 	trail.Record(port.AuditEvent{
--- a/internal/adapter/auditlog/filter.go
+++ b/internal/adapter/auditlog/filter.go
@@ -11,25 +11,25 @@
 	"tamarackquay/internal/port"
 )
 
-// Filter narrows a trail. The node applies it before it answers: whole trails
-// of 1,600 nodes would be a gigabyte. The zero value takes every event.
+// Filter selects events of a trail. Nodes apply it before they respond, since the complete trails
+// of 1,600 nodes would be a gigabyte. The zero value selects all events.
 type Filter struct {
-	// Since drops events before it; zero takes all.
+	// Since selects events at or after this time; zero selects all.
 	Since time.Time
-	// Kinds keeps events of these kinds; empty keeps all.
+	// Kinds selects events of these kinds; empty selects all.
 	Kinds []string
-	// Version keeps events of this version (EPOCH.REVISION); empty keeps all.
+	// Version selects events of this version (EPOCH.REVISION); empty selects all.
 	Version string
 }
 
-// The query parameters that carry a filter.
+// Query parameters of a filter.
 const (
 	querySince   = "since"
 	queryKind    = "kind"
 	queryVersion = "version"
 )
 
-// Takes reports whether the event passes the filter.
+// Matches reports whether an event is selected by the filter.
 func (f Filter) Matches(event port.AuditEvent) bool {
 	if event.Time.Before(f.Since) {
 		return false
@@ -40,12 +40,12 @@
 	return f.Version == "" || event.Version == f.Version
 }
 
-// Apply returns the events that pass, in their order.
+// Apply returns the selected events in their order. It modifies the slice of events.
 func (f Filter) Apply(events []port.AuditEvent) []port.AuditEvent {
 	return slices.DeleteFunc(events, func(event port.AuditEvent) bool { return !f.Matches(event) })
 }
 
-// Query renders the filter for a request to a node.
+// Query encodes the filter for a request to a node.
 func (f Filter) Query() url.Values {
 	query := url.Values{}
 	if !f.Since.IsZero() {
@@ -60,7 +60,7 @@
 	return query
 }
 
-// ParseFilter reads what Query renders.
+// ParseFilter decodes a filter that was encoded by Query.
 func ParseFilter(query url.Values) (Filter, error) {
 	filter := Filter{Version: query.Get(queryVersion)}
 	if kinds := query.Get(queryKind); kinds != "" {
