--- a/internal/adapter/logout/logout.go
+++ b/internal/adapter/logout/logout.go
@@ -1,6 +1,5 @@
-// Package logout writes log lines without ever holding up whoever logs. A reader
-// of the process's output that stops reading would otherwise stop the requests
-// behind the lines.
+// Package logout writes log lines without blocking the caller. Otherwise, if the reader of the
+// process's output stopped reading, the requests that write log lines would block.
 package logout
 
 import (
@@ -10,12 +9,12 @@
 	"github.com/phuslu/log"
 )
 
-// buffered is how many lines wait for a slow reader: at some 400 bytes a line
-// about a megabyte.
-const buffered = 2048
+// bufferedLines is the number of lines buffered for a slow reader: about a megabyte at 400 bytes
+// a line.
+const bufferedLines = 2048
 
-// Writer implements log.Writer. Lines that find the buffer full are dropped and
-// counted.
+// Writer writes log lines asynchronously. It implements log.Writer. Lines are dropped and counted
+// while the buffer is full.
 type Writer struct {
 	async   log.AsyncWriter
 	dropped atomic.Int64
@@ -23,9 +22,9 @@
 
 var _ log.Writer = (*Writer)(nil)
 
-// New returns a writer to w.
+// New returns a Writer that writes to w.
 func New(w io.Writer) *Writer {
-	return &Writer{async: log.AsyncWriter{Writer: &log.IOWriter{Writer: w}, ChannelSize: buffered, DiscardOnFull: true}}
+	return &Writer{async: log.AsyncWriter{Writer: &log.IOWriter{Writer: w}, ChannelSize: bufferedLines, DiscardOnFull: true}}
 }
 
 // WriteEntry implements log.Writer.
@@ -37,8 +36,8 @@
 	return n, err
 }
 
-// TakeDropped returns how many lines were dropped since it was last called.
+// TakeDropped returns the number of lines dropped since the last call, and resets it.
 func (w *Writer) TakeDropped() int64 { return w.dropped.Swap(0) }
 
-// Close writes what is buffered. Nothing may be logged after it.
+// Close writes the buffered lines and closes the writer. Nothing may be logged afterwards.
 func (w *Writer) Close() error { return w.async.Close() }
--- a/internal/adapter/logout/logout_test.go
+++ b/internal/adapter/logout/logout_test.go
@@ -10,24 +10,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck is an output that nobody reads until it is released.
-type stuck struct {
+// blockedWriter is an output whose reader doesn't read until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	strings.Builder
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.Builder.Write(p)
 }
 
-// The reader of the output stops reading while lines keep coming. Whoever logs
-// goes on at once; what doesn't fit the buffer is dropped and told.
-func TestStuckReaderHoldsUpNobody(t *testing.T) {
-	output := &stuck{release: make(chan struct{})}
+// Guards against blocking callers of the logger while the reader of the output doesn't read. Lines
+// that don't fit into the buffer must be dropped and counted.
+func TestBlockedReaderDelaysNoLogging(t *testing.T) {
+	output := &blockedWriter{release: make(chan struct{})}
 	w := New(output)
 	logger := log.Logger{Writer: w}
-	const lines = 3 * buffered
+	const lines = 3 * bufferedLines
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -38,20 +38,20 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("logging waits for the reader")
+		t.Fatal("logging blocks until the output is read")
 	}
 	dropped := w.TakeDropped()
-	assert.Assert(t, dropped >= lines-buffered-2, "%d", dropped)
+	assert.Assert(t, dropped >= lines-bufferedLines-2, "%d", dropped)
 	close(output.release)
 	assert.NilError(t, w.Close())
 	assert.Equal(t, int64(strings.Count(output.String(), "\n")), lines-dropped)
 	assert.Equal(t, w.TakeDropped(), int64(0))
 }
 
-func TestNothingIsDroppedForAReaderThatReads(t *testing.T) {
+func TestNothingIsDroppedForAnActiveReader(t *testing.T) {
 	w := New(io.Discard)
 	logger := log.Logger{Writer: w}
-	for range buffered / 2 {
+	for range bufferedLines / 2 {
 		logger.Info().Msg("")
 	}
 	assert.NilError(t, w.Close())
