--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -1,5 +1,4 @@
-// Package metrics keeps the node's counters and gauges and renders them in the
-// Prometheus text format.
+// Package metrics holds the node's metrics and writes them in the Prometheus text format.
 package metrics
 
 import (
@@ -12,10 +11,10 @@
 	"tamarackquay/internal/port"
 )
 
-// labelName is the one label that a metric's series differ by.
+// labelName is the name of the only label, by which the series of a metric differ.
 const labelName = "by"
 
-// Meter implements port.Meter.
+// Meter records metrics. It implements port.Meter.
 type Meter struct{ set *vm.Set }
 
 var _ port.Meter = (*Meter)(nil)
@@ -45,7 +44,7 @@
 	return fmt.Sprintf("%s{%s=%q}", metric, labelName, label)
 }
 
-// Write renders all series and those of the Go runtime and process.
+// Write writes all series, and those of the Go runtime and the process.
 func (m *Meter) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	vm.WriteProcessMetrics(w)
