--- a/internal/adapter/feedws/codec.go
+++ b/internal/adapter/feedws/codec.go
@@ -71,9 +71,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := deltaID{d.Base, d.Version, d.Part, d.Parts}
-	for _, kept := range e.cache {
-		if kept.id == id {
-			return kept.raw, nil
+	for _, cached := range e.cache {
+		if cached.id == id {
+			return cached.raw, nil
 		}
 	}
 	raw, err := compress(d)
--- a/internal/adapter/feedws/feedws.go
+++ b/internal/adapter/feedws/feedws.go
@@ -47,9 +47,9 @@
 	openTimeout = time.Second
 )
 
-// Source provides the updates that a handler serves. Serve calls send with each update that
-// the follower on a host lacks, starting from the follower's checkpoint, until ctx ends or
-// send fails.
+// Source provides the updates that a handler serves. Serve passes the updates that a follower
+// lacks to send, starting from the checkpoint held by the follower, until ctx ends or send
+// fails. Host is the follower's host.
 type Source interface {
 	Serve(ctx context.Context, host string, held mesh.Checkpoint, send func(*mesh.Update) error) error
 }
--- a/internal/adapter/peerws/client.go
+++ b/internal/adapter/peerws/client.go
@@ -86,17 +86,17 @@
 func (c *Client) dropIdle() []*clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var idle []*clientConn
+	var toPing []*clientConn
 	for address, cc := range c.conns {
 		switch {
 		case cc.broken() || c.now().Sub(cc.lastSent()) > IdleTimeout:
 			cc.close()
 			delete(c.conns, address)
 		case c.now().Sub(cc.lastReceived()) > pingAfter:
-			idle = append(idle, cc)
+			toPing = append(toPing, cc)
 		}
 	}
-	return idle
+	return toPing
 }
 
 // NumOpen returns the number of open connections.
--- a/internal/adapter/peerws/peerws_test.go
+++ b/internal/adapter/peerws/peerws_test.go
@@ -88,8 +88,8 @@
 
 // Guards against a peer whose invalid messages disturb others. Its connection must be closed
 // with a status that shows its operator the reason, and other peers must still be served.
-func TestBrokenPeersAreCutOff(t *testing.T) {
-	good, err := encode(heartbeatFrom("vm-1"), 1, 0)
+func TestBrokenPeersAreDisconnected(t *testing.T) {
+	valid, err := encode(heartbeatFrom("vm-1"), 1, 0)
 	assert.NilError(t, err)
 	otherSender, err := encode(port.Gossip{From: "vm-9"}, 0, 0)
 	assert.NilError(t, err)
@@ -99,7 +99,7 @@
 		want websocket.StatusCode
 	}{
 		{"broken CBOR", []byte{0xff, 0x00}, websocket.StatusUnsupportedData},
-		{"half a message", good[:len(good)/2], websocket.StatusUnsupportedData},
+		{"half a message", valid[:len(valid)/2], websocket.StatusUnsupportedData},
 		{"too large", make([]byte, MaxRequestBytes+1), websocket.StatusMessageTooBig},
 		{"another VM's name", otherSender, websocket.StatusPolicyViolation},
 	} {
--- a/internal/adapter/settings/check.go
+++ b/internal/adapter/settings/check.go
@@ -94,7 +94,7 @@
 	if s.Peers.SuspectAfter <= s.Peers.Heartbeat {
 		c.add(CodeOutOfRange, "peers.suspect_after", "set several heartbeats", "must be above peers.heartbeat")
 	} else if s.Peers.SuspectAfter < minMissedHeartbeats*s.Peers.Heartbeat {
-		c.warn("peers.suspect_after", fmt.Sprintf("set at least %d heartbeats", minMissedHeartbeats), "one late heartbeat makes a healthy peer suspect")
+		c.warn("peers.suspect_after", fmt.Sprintf("set at least %d heartbeats", minMissedHeartbeats), "one late heartbeat makes a healthy peer suspect, and it receives no more requests")
 	}
 	if s.Peers.ForgetAfter <= s.Peers.SuspectAfter {
 		c.add(CodeOutOfRange, "peers.forget_after", "set several minutes", "must be above peers.suspect_after")
