--- a/internal/adapter/feedws/feedws_test.go
+++ b/internal/adapter/feedws/feedws_test.go
@@ -19,7 +19,7 @@
 	"tamarackquay/internal/quarantine"
 )
 
-// makeRoutes returns routes with random names, which compress poorly.
+// makeRoutes returns routes with random, unrelated names.
 func makeRoutes(count int) []mesh.Route {
 	random := rand.New(rand.NewPCG(1, 1))
 	var made []mesh.Route
