--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -236,7 +236,7 @@
 func (d *daemon) awaitCallers() {
 	ctx, cancel := context.WithTimeout(context.Background(), idleGrace)
 	defer cancel()
-	d.callers.AwaitIdle(ctx)
+	d.callers.AwaitClosed(ctx)
 }
 
 // sweepIdle closes idle connections and takes up changed certificate files, so
--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -35,13 +35,13 @@
 		// Round trips are 40 ms at most; a VM that takes longer to open a
 		// connection is away or can't be used in time.
 		DialTimeout: 150 * time.Millisecond, IdleTimeout: 20 * time.Second,
-		SilenceTimeout: 500 * time.Millisecond, MaxIdle: 16,
+		AckTimeout: 500 * time.Millisecond, MaxIdle: 16,
 	}
 	// targetConnections are to a process on the same VM, where opening takes
 	// no time: one that doesn't answer at once is stopped or full.
 	targetConnections = exchange.Options{
 		DialTimeout: 300 * time.Millisecond, IdleTimeout: 4 * time.Second,
-		SilenceTimeout: 2 * time.Second, MaxIdle: 64,
+		AckTimeout: 2 * time.Second, MaxIdle: 64,
 	}
 )
 
--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -90,7 +90,7 @@
 // longer than the configuration allows.
 func (c *sidecar) closeOverdue(now time.Time) {
 	limits := c.proxy.Limits()
-	ended, err := c.callers.CloseOverdue(now, callerhttp.Waits{Header: limits.HeaderTimeout, Idle: limits.IdleTimeout})
+	ended, err := c.callers.CloseTimedOut(now, callerhttp.Timeouts{Header: limits.HeaderTimeout, Idle: limits.IdleTimeout})
 	if err != nil {
 		c.log.Warn().Err(err).Msg("overdue connections are left open")
 	}
--- a/internal/adapter/callerhttp/idle.go
+++ b/internal/adapter/callerhttp/idle.go
@@ -150,7 +150,7 @@
 // on a connection at the very moment at which it is closed can't be helped by
 // any server (RFC 9112, section 9.5); leaving the idle ones open for a while
 // leaves only those that nobody uses.
-func (s *Server) AwaitIdle(ctx context.Context) {
+func (s *Server) AwaitClosed(ctx context.Context) {
 	ticker := time.NewTicker(awaitPoll)
 	defer ticker.Stop()
 	for s.open() > 0 {
@@ -171,7 +171,7 @@
 // CloseIdle ends all connections on which no request has arrived. Requests that
 // have arrived go on.
 func (s *Server) CloseIdle() error {
-	farewell, err := callhttp.LastRefusal(port.Refuse(port.ReasonStopping, time.Second, "this node is stopping; ask another"))
+	farewell, err := callhttp.FinalRefusal(port.Refuse(port.ReasonStopping, time.Second, "this node is stopping; ask another"))
 	if err != nil {
 		return err
 	}
--- a/internal/adapter/callerhttp/overdue.go
+++ b/internal/adapter/callerhttp/overdue.go
@@ -9,7 +9,7 @@
 
 // Waits bound how long a caller may keep a connection waiting. Zero means no
 // bound.
-type Waits struct {
+type Timeouts struct {
 	// Header bounds the time from the first byte of a request to the end of its
 	// headers, Idle that between two requests.
 	Header, Idle time.Duration
@@ -20,8 +20,8 @@
 // and leaves them, takes descriptors and memory until the process has none left.
 // http.Server has the same bounds, but they can't change with the configuration
 // while it serves. It returns how many were ended.
-func (s *Server) CloseOverdue(now time.Time, waits Waits) (int, error) {
-	tooSlow, err := callhttp.LastRefusal(port.Refuse(port.ReasonHeaderTooSlow, 0, "the headers did not come within %s", waits.Header))
+func (s *Server) CloseTimedOut(now time.Time, waits Timeouts) (int, error) {
+	tooSlow, err := callhttp.FinalRefusal(port.Refuse(port.ReasonHeaderTooSlow, 0, "the headers did not come within %s", waits.Header))
 	if err != nil {
 		return 0, err
 	}
@@ -52,7 +52,7 @@
 
 // overdue judges the connection and, if it is overdue, lets the server read
 // nothing more from it.
-func (c *conn) overdue(now time.Time, waits Waits) overdueness {
+func (c *conn) overdue(now time.Time, waits Timeouts) overdueness {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	waited := now.Sub(c.since)
--- a/internal/adapter/callerhttp/overdue_test.go
+++ b/internal/adapter/callerhttp/overdue_test.go
@@ -43,11 +43,11 @@
 	_, busy := open(request)
 	time.Sleep(20 * time.Millisecond)
 
-	waits := Waits{Header: time.Second, Idle: 10 * time.Second}
-	ended, err := server.CloseOverdue(time.Now().Add(900*time.Millisecond), waits)
+	waits := Timeouts{Header: time.Second, Idle: 10 * time.Second}
+	ended, err := server.CloseTimedOut(time.Now().Add(900*time.Millisecond), waits)
 	assert.NilError(t, err)
 	assert.Equal(t, ended, 0)
-	ended, err = server.CloseOverdue(time.Now().Add(2*time.Second), waits)
+	ended, err = server.CloseTimedOut(time.Now().Add(2*time.Second), waits)
 	assert.NilError(t, err)
 	assert.Equal(t, ended, 1)
 	told, err := http.ReadResponse(dribbling, nil)
@@ -55,7 +55,7 @@
 	assert.Equal(t, told.StatusCode, http.StatusRequestTimeout)
 	assert.Equal(t, told.Header.Get(callhttp.HeaderOutcome), callhttp.OutcomeDidNotRun)
 
-	ended, err = server.CloseOverdue(time.Now().Add(11*time.Second), waits)
+	ended, err = server.CloseTimedOut(time.Now().Add(11*time.Second), waits)
 	assert.NilError(t, err)
 	assert.Equal(t, ended, 1, "the busy one is not overdue")
 	_, err = idle.ReadByte()
--- a/internal/adapter/callhttp/outcome.go
+++ b/internal/adapter/callhttp/outcome.go
@@ -84,7 +84,7 @@
 }
 
 // LastRefusal renders a refusal as the last response of an HTTP/1.1 connection.
-func LastRefusal(refusal *port.Refusal) ([]byte, error) {
+func FinalRefusal(refusal *port.Refusal) ([]byte, error) {
 	header := http.Header{"Content-Type": {"application/json"}}
 	status, outcome := describe(header, refusal)
 	body, err := json.Marshal(outcome)
--- a/internal/adapter/callhttp/startby.go
+++ b/internal/adapter/callhttp/startby.go
@@ -8,7 +8,7 @@
 )
 
 // StartBy returns the value of HeaderStartBy for a deadline.
-func StartBy(deadline time.Time) string {
+func FormatStartBy(deadline time.Time) string {
 	// A pause between the two clocks makes the moment earlier, never later.
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
--- a/internal/adapter/callhttp/startby_test.go
+++ b/internal/adapter/callhttp/startby_test.go
@@ -25,7 +25,7 @@
 		t.Run(test.desc, func(t *testing.T) {
 			upstream := target.New(1, target.Mode{})
 			r := httptest.NewRequest(http.MethodGet, "/tallies/1", nil)
-			r.Header.Set(HeaderStartBy, StartBy(time.Now().Add(test.deadline)))
+			r.Header.Set(HeaderStartBy, FormatStartBy(time.Now().Add(test.deadline)))
 			w := httptest.NewRecorder()
 			upstream.Handler().ServeHTTP(w, r)
 			assert.Equal(t, w.Code, test.want)
--- a/internal/adapter/exchange/exchange.go
+++ b/internal/adapter/exchange/exchange.go
@@ -70,7 +70,7 @@
 
 // IsSilence reports whether a request failed because the other side's VM gave no
 // answer at all, not even that nobody listens there.
-func IsSilence(err error) bool {
+func IsHostUnresponsive(err error) bool {
 	var timeout net.Error
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) || errors.As(err, &timeout) && timeout.Timeout()
 }
--- a/internal/adapter/exchange/exchange_test.go
+++ b/internal/adapter/exchange/exchange_test.go
@@ -52,7 +52,7 @@
 }
 
 func pool() *Pool {
-	return NewPool(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, SilenceTimeout: time.Second, MaxIdle: 4})
+	return NewPool(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, AckTimeout: time.Second, MaxIdle: 4})
 }
 
 func answer(id, body string) string {
@@ -281,12 +281,12 @@
 	p := pool()
 	_, err := ask(p, address, "id")
 	assert.NilError(t, err)
-	assert.Assert(t, !p.Refused(context.Background(), address))
+	assert.Assert(t, !p.ConnectionRefused(context.Background(), address))
 	assert.Equal(t, accepted(), 1)
 
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	assert.Assert(t, !p.Refused(context.Background(), listener.Addr().String()))
+	assert.Assert(t, !p.ConnectionRefused(context.Background(), listener.Addr().String()))
 	assert.NilError(t, listener.Close())
-	assert.Assert(t, p.Refused(context.Background(), listener.Addr().String()))
+	assert.Assert(t, p.ConnectionRefused(context.Background(), listener.Addr().String()))
 }
--- a/internal/adapter/exchange/pool.go
+++ b/internal/adapter/exchange/pool.go
@@ -23,7 +23,7 @@
 	IdleTimeout time.Duration
 	// SilenceTimeout ends a connection whose other side acknowledges nothing
 	// for so long.
-	SilenceTimeout time.Duration
+	AckTimeout time.Duration
 	// MaxIdle bounds the kept connections to one address.
 	MaxIdle int
 }
@@ -44,7 +44,7 @@
 	p.dialer = net.Dialer{
 		Timeout: options.DialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: options.SilenceTimeout, Interval: options.SilenceTimeout, Count: 1,
+			Enable: true, Idle: options.AckTimeout, Interval: options.AckTimeout, Count: 1,
 		},
 		Control: p.control,
 	}
@@ -57,7 +57,7 @@
 func (p *Pool) control(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.options.SilenceTimeout.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.options.AckTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 
 // Refused reports whether nobody listens at an address. No connection is opened while an
 // idle one is sound.
-func (p *Pool) Refused(ctx context.Context, address string) bool {
+func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
 	if c := p.takeQuiet(address); c != nil {
 		p.put(c, time.Until(c.until))
 		return false
@@ -186,7 +186,7 @@
 }
 
 // Forget closes the idle connections to an address, whose other side is gone.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseAddress(address string) {
 	p.mu.Lock()
 	kept := p.idle[address]
 	delete(p.idle, address)
--- a/internal/adapter/peerforward/server.go
+++ b/internal/adapter/peerforward/server.go
@@ -12,7 +12,7 @@
 // Owner runs calls that entry nodes forward.
 type Owner interface {
 	// Own answers the call on w. It must be the only writer.
-	Own(w http.ResponseWriter, r *http.Request, call *port.Call)
+	ServePeer(w http.ResponseWriter, r *http.Request, call *port.Call)
 }
 
 // Handler takes calls from proven peers.
@@ -39,5 +39,5 @@
 		callhttp.WriteError(w, port.Refuse(port.ReasonBadRequest, 0, "header %s: %v", headerTerms, err))
 		return
 	}
-	h.owner.Own(w, r, call)
+	h.owner.ServePeer(w, r, call)
 }
--- a/internal/adapter/targethttp/targethttp.go
+++ b/internal/adapter/targethttp/targethttp.go
@@ -61,7 +61,7 @@
 	extra := http.Header{
 		callhttp.HeaderRequestID: {call.ID},
 		callhttp.HeaderBudget:    {callhttp.FormatMillis(time.Until(call.Deadline))},
-		callhttp.HeaderStartBy:   {callhttp.StartBy(call.Deadline)},
+		callhttp.HeaderStartBy:   {callhttp.FormatStartBy(call.Deadline)},
 	}
 	callhttp.SetChain(extra, append(slices.Clone(call.Chain), call.Service))
 	response, err := callhttp.RoundTrip(ctx, t.transport, "http://"+t.address, call, extra)
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -97,7 +97,7 @@
 func (p *Proxy) checkForCrash() {
 	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
-	exited := p.ports.Target.Refused(ctx, p.config.TargetAddress)
+	exited := p.ports.Target.ConnectionRefused(ctx, p.config.TargetAddress)
 	crash, crashed := p.finishCrashCheck(exited)
 	local := p.stayingTarget()
 	if !crashed || local == nil {
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -197,7 +197,7 @@
 	address := p.peerAddress(member)
 	response, err := p.ports.Peers.Do(ctx, address, r)
 	if err != nil {
-		if exchange.IsSilence(err) && ctx.Err() == nil {
+		if exchange.IsHostUnresponsive(err) && ctx.Err() == nil {
 			p.markUnreachable(address)
 		}
 		return nil, loadReport{}, p.classifyError(err)
