--- a/internal/adapter/callhttp/attempt.go
+++ b/internal/adapter/callhttp/attempt.go
@@ -9,143 +9,150 @@
 	"github.com/pkg/errors"
 )
 
-// Errors that a guarded connection gives in place of a write.
+// Errors that a guarded connection returns instead of writing.
 var (
-	errReplay  = errors.New("the request was already written to another connection")
-	errLate    = errors.New("the deadline is over")
-	errGone    = errors.New("the sender of the request has closed its connection")
-	errEnded   = errors.New("the attempt is over")
-	errUnowned = errors.New("the connection was not handed to a request")
+	errReplay       = errors.New("the request was already written to another connection")
+	errDeadline     = errors.New("the deadline is over")
+	errSenderClosed = errors.New("the sender of the request has closed its connection")
+	errEnded        = errors.New("the attempt is over")
+	errNoAttempt    = errors.New("the connection was not handed to a request")
 )
 
-// attempt is one sending of one request. It is the witness for both promises
-// that depend on bytes: a request that wrote nothing did not run, and a request
-// that wrote to one connection is never written to a second one.
+// attempt tracks one attempt to send a request. It guarantees that a request that was
+// not written did not run, and that a request is written to at most one connection.
 //
-// net/http sends a request again by itself when a reused connection dies and
-// the method or an Idempotency-Key header makes the request look replayable. The
-// target may have run it before it died, and would run it twice. The writes
-// themselves are checked here, below net/http, so that no rule of its own can
-// lead around the check. It is safe for concurrent use.
+// When a reused connection breaks, net/http itself sends a request again if its method
+// or an Idempotency-Key header makes it look replayable. If the target ran the request
+// before the connection broke, it would run it twice. Therefore each write is checked
+// here, below net/http, where net/http's own rules can't bypass the check.
+//
+// An attempt is safe for concurrent use.
 type attempt struct {
 	deadline time.Time
-	// gone reports whether whoever sent the request has closed its connection.
-	gone func() bool
-
-	mu       sync.Mutex
-	wrote    *Conn
-	late     bool
-	ended    bool
-	answered bool
+	// senderClosed reports whether the sender of the request has closed its
+	// connection.
+	senderClosed func() bool
+
+	mu sync.Mutex
+	// writtenTo is the connection to which the request was written, or nil.
+	writtenTo *Conn
+	// expired is true if a first write was prevented because the deadline had
+	// passed or the sender had closed its connection.
+	expired bool
+	// ended is true once no further first write is allowed.
+	ended     bool
+	responded bool
 }
 
-// mayWrite decides on each write of the attempt to a connection. The deadline
-// is looked at here, last of all and before the first byte: a process that was
-// paused after it took a slot, or while it asked for the sender, would otherwise
-// start work that its caller has long given up.
-func (a *attempt) mayWrite(c *Conn) error {
+// checkWrite returns an error if the attempt must not write to the connection. The
+// deadline is checked last, directly before the first byte: a process that was paused
+// after it acquired a slot, or during the check of the sender, would otherwise start
+// work after the caller stopped waiting.
+func (a *attempt) checkWrite(c *Conn) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case a.wrote == c:
+	case a.writtenTo == c:
 		return nil
-	case a.wrote != nil:
+	case a.writtenTo != nil:
 		return errReplay
 	case a.ended:
 		return errEnded
-	case a.gone():
-		a.late = true
-		return errGone
+	case a.senderClosed():
+		a.expired = true
+		return errSenderClosed
 	case !time.Now().Before(a.deadline):
-		a.late = true
-		return errLate
+		a.expired = true
+		return errDeadline
 	}
-	a.wrote = c
+	a.writtenTo = c
 	return nil
 }
 
-// heldBack notes that the first write to a connection ended at the deadline before
-// any byte went out.
-func (a *attempt) heldBack() {
+// recordExpired records that the first write reached the deadline before any byte was
+// written.
+func (a *attempt) recordExpired() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.wrote = nil
-	a.late = true
+	a.writtenTo = nil
+	a.expired = true
 }
 
-// end closes the attempt to first writes and reports whether any was made, and
-// whether one was held back because of the deadline.
-func (a *attempt) end() (wrote, late bool) {
+// end prevents any further first write. It reports whether the request was written, and
+// whether a first write was prevented because the deadline had passed or the sender had
+// closed its connection.
+func (a *attempt) end() (wrote, expired bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ended = true
-	return a.wrote != nil, a.late
+	return a.writtenTo != nil, a.expired
 }
 
-// finish notes that the attempt got its answer.
-func (a *attempt) finish() {
+// recordResponse records that the response was received.
+func (a *attempt) recordResponse() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.answered = true
+	a.responded = true
 }
 
-// unanswered reports whether the attempt still has no answer.
-func (a *attempt) unanswered() bool {
+// pending reports whether no response was received yet.
+func (a *attempt) pending() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.answered
+	return !a.responded
 }
 
-// Conn is a connection on which nothing is written but by the attempt that
-// holds it.
+// Conn is a connection that only the attempt assigned to it can write to.
 type Conn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	holder *attempt
-	// begun is the attempt whose first write to this connection is done.
-	begun *attempt
+	mu      sync.Mutex
+	attempt *attempt
+	// started is the last attempt that has begun its first write to this
+	// connection.
+	started *attempt
 }
 
-// Guard wraps a connection that a transport of RoundTrip has opened. For TLS it
-// must wrap the TLS connection, so that the handshake doesn't count as writing.
+// Guard wraps a connection opened by a transport that is used with RoundTrip. With TLS
+// it must wrap the TLS connection, so that the handshake doesn't count as a write.
 func Guard(conn net.Conn) *Conn { return &Conn{Conn: conn} }
 
-func (c *Conn) hold(a *attempt) {
+// assign gives the connection to an attempt.
+func (c *Conn) assign(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holder = a
+	c.attempt = a
 }
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	holder := c.holder
-	first := holder != c.begun
-	c.begun = holder
+	a := c.attempt
+	first := a != c.started
+	c.started = a
 	c.mu.Unlock()
-	if holder == nil {
-		return 0, errUnowned
+	if a == nil {
+		return 0, errNoAttempt
 	}
-	if err := holder.mayWrite(c); err != nil {
+	if err := a.checkWrite(c); err != nil {
 		return 0, err
 	}
 	if first {
-		return c.writeFirst(holder, p)
+		return c.writeFirst(a, p)
 	}
 	return c.Conn.Write(p)
 }
 
-// writeFirst writes an attempt's first bytes, unless the deadline passes before the
-// connection takes them: the process may be paused after the last look at the clock.
-func (c *Conn) writeFirst(holder *attempt, p []byte) (int, error) {
-	if err := c.Conn.SetWriteDeadline(holder.deadline); err != nil {
+// writeFirst writes the first bytes of an attempt. It sets a write deadline, since the
+// process may be paused between the check of the deadline and the write.
+func (c *Conn) writeFirst(a *attempt, p []byte) (int, error) {
+	if err := c.Conn.SetWriteDeadline(a.deadline); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		holder.heldBack()
-		return 0, errLate
+		a.recordExpired()
+		return 0, errDeadline
 	}
 	if err != nil {
 		return n, err
@@ -153,15 +160,14 @@
 	return n, c.Conn.SetWriteDeadline(time.Time{})
 }
 
-// Close implements net.Conn. The connection of an attempt without an answer is
-// reset: after a plain close the kernel would go on sending what is buffered,
-// and a request that was given up while the network was cut would run when the
-// network is back.
+// Close implements net.Conn. If no response was received, the connection is reset. After
+// a normal close the kernel would continue to send buffered data, and a request that was
+// canceled during a network partition would run once the partition ends.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	holder := c.holder
+	a := c.attempt
 	c.mu.Unlock()
-	if holder != nil && holder.unanswered() {
+	if a != nil && a.pending() {
 		reset(c.Conn)
 	}
 	return c.Conn.Close()
@@ -172,7 +178,7 @@
 		conn = wrapped.NetConn()
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		// It fails only on a connection that is closed already.
+		// This fails only if the connection is already closed.
 		_ = tcp.SetLinger(0)
 	}
 }
--- a/internal/adapter/callhttp/callhttp.go
+++ b/internal/adapter/callhttp/callhttp.go
@@ -1,5 +1,5 @@
-// Package callhttp maps calls, answers, refusals and unknown outcomes onto
-// HTTP, one way for callers, peers and targets.
+// Package callhttp maps calls, responses, refusals and unknown outcomes to HTTP. The
+// mapping is the same for callers, peers and targets.
 package callhttp
 
 import (
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Headers of the system. They are removed from what callers and targets send,
-// so that neither can pass for a node.
+// Headers reserved for nodes. They are removed from messages of callers and targets, so
+// that neither can impersonate a node.
 const (
 	HeaderPrefix    = "Tamarack-"
 	HeaderOutcome   = "Tamarack-Outcome"
@@ -23,12 +23,13 @@
 	HeaderOwner     = "Tamarack-Owner"
 	HeaderEntry     = "Tamarack-Entry"
 	HeaderBudget    = "Tamarack-Budget-Ms"
-	// HeaderStartBy tells a target on the same VM until when it may begin, in
-	// milliseconds of the machine's monotonic clock. Unlike what is left of the
-	// deadline it holds when the node is paused before it sends the request.
+	// HeaderStartBy is the latest time at which a target on the same VM may start
+	// the request, in milliseconds of the machine's monotonic clock. Unlike the
+	// remaining time until the deadline, it stays correct if the node is paused
+	// before it sends the request.
 	HeaderStartBy = "Tamarack-Start-By-Ms"
-	// HeaderChain names the services of a call's chain, outermost first. A
-	// target passes it on with the calls that it makes for the request.
+	// HeaderChain lists the services of a call's chain, outermost first. A target
+	// sends it with the calls that it makes while it runs the request.
 	HeaderChain = "Tamarack-Chain"
 )
 
@@ -38,16 +39,16 @@
 	OutcomeUnknown   = "unknown"
 )
 
-// hopHeaders end at each hop (RFC 9110, section 7.6.1). Expect is answered by
-// the entry node, which reads the body when it needs it.
+// hopHeaders are the hop-by-hop headers (RFC 9110, section 7.6.1). Expect is among them
+// because the entry node handles it, by reading the body when it needs it.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Expect": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true,
 }
 
-// CopyHeader copies end-to-end headers, leaving out those of this hop and of
-// the system. The values are shared: neither side may change them in place.
+// CopyHeader copies the end-to-end headers; hop-by-hop headers and headers reserved for
+// nodes are omitted. The values are shared and must not be changed in place.
 func CopyHeader(to, from http.Header) {
 	listed := connectionHeaders(from["Connection"])
 	for name, values := range from {
@@ -57,7 +58,8 @@
 	}
 }
 
-// connectionHeaders are the headers that a Connection header ends at this hop.
+// connectionHeaders returns the names that the Connection header lists as hop-by-hop
+// headers.
 func connectionHeaders(values []string) []string {
 	var listed []string
 	for _, value := range values {
@@ -68,7 +70,8 @@
 	return listed
 }
 
-// RetryAfter reads the header in seconds; zero when it is absent or unreadable.
+// RetryAfter returns the value of the Retry-After header, which must be in whole seconds.
+// It returns zero if the header is missing or invalid.
 func RetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
@@ -77,19 +80,20 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// SetRetryAfter writes the header, rounded up to whole seconds.
+// SetRetryAfter sets the Retry-After header, rounded up to whole seconds. It sets no
+// header if the duration is not positive.
 func SetRetryAfter(header http.Header, after time.Duration) {
 	if after > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	}
 }
 
-// FormatMillis renders a duration for the headers that carry one; negative
-// durations are zero.
+// FormatMillis formats a duration for use in a header, in milliseconds. Negative
+// durations become zero.
 func FormatMillis(d time.Duration) string { return strconv.FormatInt(max(0, d.Milliseconds()), 10) }
 
-// ParseMillis reads what FormatMillis wrote. Negative durations and ones that
-// don't fit are errors.
+// ParseMillis parses the output of FormatMillis. It returns an error for negative
+// durations and for durations that overflow.
 func ParseMillis(text string) (time.Duration, error) {
 	millis, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/internal/adapter/callhttp/chain.go
+++ b/internal/adapter/callhttp/chain.go
@@ -7,12 +7,12 @@
 	"tamarackquay/internal/admission"
 )
 
-// chainSeparator stands between the services of HeaderChain.
+// chainSeparator separates the services in HeaderChain.
 const chainSeparator = ","
 
-// ParseChain reads the services of the open calls above a request. What is
-// deeper than any chain is dropped, so that a caller can't make the header grow
-// from hop to hop.
+// ParseChain returns the services of the calls in progress that led to a request.
+// Services beyond the maximum depth of a chain are dropped, so that the header of a
+// caller can't grow from hop to hop.
 func ParseChain(header http.Header) []string {
 	text := header.Get(HeaderChain)
 	if text == "" {
@@ -22,7 +22,7 @@
 	return chain[:min(len(chain), admission.MaxDepth)]
 }
 
-// SetChain writes the chain; an empty one needs no header.
+// SetChain sets the chain header. It sets no header if the chain is empty.
 func SetChain(header http.Header, chain []string) {
 	if len(chain) > 0 {
 		header[HeaderChain] = []string{strings.Join(chain, chainSeparator)}
--- a/internal/adapter/callhttp/chain_test.go
+++ b/internal/adapter/callhttp/chain_test.go
@@ -19,8 +19,8 @@
 	assert.DeepEqual(t, ParseChain(header), []string{"tally", "returns"})
 }
 
-// A caller sends a chain of a thousand services. What goes on to the next hop
-// is no longer than the longest chain there is.
+// Guards against a header that grows from hop to hop: a caller sends a chain of a
+// thousand services, and it must be cut to the maximum depth.
 func TestChainOfACallerIsBounded(t *testing.T) {
 	header := http.Header{HeaderChain: {strings.Repeat("tally,", 1000)}}
 	assert.Equal(t, len(ParseChain(header)), admission.MaxDepth)
--- a/internal/adapter/callhttp/roundtrip.go
+++ b/internal/adapter/callhttp/roundtrip.go
@@ -12,30 +12,29 @@
 	"tamarackquay/internal/port"
 )
 
-// Stages of an outcome that is unknown.
+// The stages of an unknown outcome.
 const (
-	stageAnswer   = "answer"
+	stageResponse = "answer"
 	stageDeadline = "deadline"
 )
 
-// retryUnreachable is told when the other side could not be reached.
+// retryUnreachable is the Retry-After of a request that could not be sent.
 const retryUnreachable = time.Second
 
-var errFirstByte = errors.New("no answer before the deadline")
+var errNoResponse = errors.New("no answer before the deadline")
 
-// RoundTrip sends the call to the base URL with extra headers and returns the
-// response, whose body must be closed. The transport must open its connections
-// with Guard and speak HTTP/1.1.
+// RoundTrip sends the call to the base URL with extra headers and returns the response,
+// whose body must be closed. The transport must wrap its connections with Guard and use
+// HTTP/1.1.
 //
-// The call's deadline bounds the wait for the response's header; its body may
-// take longer. The error is a *port.Refusal if no byte was written, and a
-// *port.Unknown otherwise.
+// The call's deadline applies to the response header; the body may take longer. The
+// error is a *port.Refusal if no byte was written, and a *port.UnknownOutcome otherwise.
 func RoundTrip(ctx context.Context, transport http.RoundTripper, base string, call *port.Call, extra http.Header) (*http.Response, error) {
-	sender := ctx
-	try := &attempt{deadline: call.Deadline, gone: func() bool { return senderGone(sender) }}
+	senderCtx := ctx
+	a := &attempt{deadline: call.Deadline, senderClosed: func() bool { return senderClosed(senderCtx) }}
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(time.Until(call.Deadline), func() { cancel(errFirstByte) })
-	request, err := newRequest(httptrace.WithClientTrace(ctx, try.trace()), base, call, extra)
+	timer := time.AfterFunc(time.Until(call.Deadline), func() { cancel(errNoResponse) })
+	request, err := newRequest(httptrace.WithClientTrace(ctx, a.trace()), base, call, extra)
 	if err != nil {
 		timer.Stop()
 		cancel(nil)
@@ -44,55 +43,57 @@
 	response, err := transport.RoundTrip(request)
 	timer.Stop()
 	if err == nil {
-		try.finish()
-		response.Body = &answerBody{ReadCloser: response.Body, cancel: cancel}
+		a.recordResponse()
+		response.Body = &responseBody{ReadCloser: response.Body, cancel: cancel}
 		return response, nil
 	}
-	late := context.Cause(ctx) == errFirstByte
+	pastDeadline := context.Cause(ctx) == errNoResponse
 	cancel(nil)
-	return nil, try.outcome(err, late)
+	return nil, a.outcome(err, pastDeadline)
 }
 
-// trace gives each connection that net/http picks for the request to the
-// attempt. Connections that are not guarded can't be had from our transports.
+// trace assigns each connection that net/http chooses for the request to the attempt.
+// The transports used with RoundTrip open only guarded connections.
 func (a *attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if conn, ok := info.Conn.(*Conn); ok {
-			conn.hold(a)
+			conn.assign(a)
 		}
 	}}
 }
 
-// outcome tells what a failed attempt proves.
+// outcome returns the outcome of a failed attempt: a refusal if nothing was written, and
+// an unknown outcome otherwise.
 func (a *attempt) outcome(err error, pastDeadline bool) error {
-	wrote, late := a.end()
+	wrote, expired := a.end()
 	switch {
 	case wrote && pastDeadline:
-		return &port.UnknownOutcome{Stage: stageDeadline, Cause: errFirstByte}
+		return &port.UnknownOutcome{Stage: stageDeadline, Cause: errNoResponse}
 	case wrote:
-		return &port.UnknownOutcome{Stage: stageAnswer, Cause: err}
-	case late || pastDeadline:
+		return &port.UnknownOutcome{Stage: stageResponse, Cause: err}
+	case expired || pastDeadline:
 		return port.Refuse(port.ReasonDeadline, retryUnreachable, "the deadline passed, or the caller was gone, before the request was sent")
 	}
 	return port.Refuse(port.ReasonUnreachable, retryUnreachable, "%v", err)
 }
 
-// answerBody ends the request's context with the body.
-type answerBody struct {
+// responseBody cancels the request's context when it is closed.
+type responseBody struct {
 	io.ReadCloser
 	cancel context.CancelCauseFunc
 }
 
 // Close implements io.Closer.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	b.cancel(nil)
 	return b.ReadCloser.Close()
 }
 
-// sentBody keeps net/http from closing what the caller of RoundTrip owns.
-type sentBody struct{ io.Reader }
+// nopCloseBody prevents net/http from closing the call's body, which the caller of
+// RoundTrip owns.
+type nopCloseBody struct{ io.Reader }
 
-func (sentBody) Close() error { return nil }
+func (nopCloseBody) Close() error { return nil }
 
 func newRequest(ctx context.Context, base string, call *port.Call, extra http.Header) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, call.Method, base+call.Target, nil)
@@ -104,7 +105,7 @@
 		request.Header[name] = values
 	}
 	if call.Body != nil && call.ContentLength != 0 {
-		request.Body = sentBody{call.Body}
+		request.Body = nopCloseBody{call.Body}
 		request.ContentLength = call.ContentLength
 	}
 	if _, ok := request.Header["User-Agent"]; !ok {
--- a/internal/adapter/callhttp/size.go
+++ b/internal/adapter/callhttp/size.go
@@ -2,16 +2,16 @@
 
 import "net/http"
 
-// lineBytes is what a header line has besides its name and value.
-const lineBytes = len(": \r\n")
+// lineOverhead is the size of a header line without its name and value.
+const lineOverhead = len(": \r\n")
 
-// HeaderBytes is the size of the request line and headers as they came, to a few
-// bytes.
+// HeaderBytes returns the size of the request line and headers as received, accurate to a
+// few bytes.
 func HeaderBytes(r *http.Request) int {
-	total := len(r.Method) + len(r.RequestURI) + len(r.Proto) + lineBytes
+	total := len(r.Method) + len(r.RequestURI) + len(r.Proto) + lineOverhead
 	for name, values := range r.Header {
 		for _, value := range values {
-			total += len(name) + len(value) + lineBytes
+			total += len(name) + len(value) + lineOverhead
 		}
 	}
 	return total
--- a/internal/adapter/callhttp/startby.go
+++ b/internal/adapter/callhttp/startby.go
@@ -7,9 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// StartBy returns the value of HeaderStartBy for a deadline.
+// FormatStartBy returns the value of HeaderStartBy for a deadline.
 func FormatStartBy(deadline time.Time) string {
-	// A pause between the two clocks makes the moment earlier, never later.
+	// The monotonic clock is read first: a pause between the two clock reads can
+	// then make the result only earlier, never later.
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
 		// Linux always has this clock.
--- a/internal/adapter/callhttp/startby_test.go
+++ b/internal/adapter/callhttp/startby_test.go
@@ -11,8 +11,9 @@
 	"tamarackquay/standin/target"
 )
 
-// Guards against a target that starts a request which its node sent after a pause: the request
-// says until when it may begin on a clock that both share.
+// Guards against a target that starts a request after its deadline because its node was
+// paused before it sent the request. HeaderStartBy uses a clock that both processes
+// share, so the target can detect this.
 func TestTargetStartsNothingAfterItsTime(t *testing.T) {
 	for _, test := range []struct {
 		desc     string
