--- a/internal/adapter/exchange/exchange.go
+++ b/internal/adapter/exchange/exchange.go
@@ -1,12 +1,12 @@
-// Package exchange sends requests over kept HTTP/1.1 connections and matches
-// answers to requests by id.
+// Package exchange sends requests over pooled HTTP/1.1 connections and matches responses
+// to requests by id.
 //
-// The messages are written and parsed by net/http; only the connections are kept
-// here. http.Transport takes whatever answer comes next for the answer to the
-// request, and repeats requests that it deems replayable. A target that sends a
-// second answer late would then have one caller's answer handed to another, and
-// a certificate might be issued twice. Here a request is written to one
-// connection once, and answers to other requests are read past.
+// net/http encodes and parses the messages; this package only manages the connections.
+// http.Transport is not used, because it assigns the next response on a connection to
+// the current request and retries requests that look replayable. If a target sent a
+// second response late, one caller would get the response of another, and a retried
+// request might issue a certificate twice. This package writes a request to one
+// connection once, and skips responses to other requests.
 package exchange
 
 import (
@@ -25,34 +25,34 @@
 // Request is one request to send.
 type Request struct {
 	Method string
-	// URI is the path and query as they were received.
+	// URI is the path and query as received.
 	URI    string
 	Host   string
 	Header http.Header
 	// Body may be nil. It is read at most once.
 	Body io.Reader
-	// ContentLength is -1 when it is not known.
+	// ContentLength is -1 if it is unknown.
 	ContentLength int64
-	// IDHeader names the header that an answer echoes, ID the value that this
-	// request's answer has. Without a name every answer is taken.
+	// IDHeader is the name of the response header that echoes the request's id,
+	// and ID the expected value. If IDHeader is empty, any response is accepted.
 	IDHeader string
 	ID       string
 }
 
-// Response is an answer whose header has come. Body must be closed. A read error
-// other than io.EOF means that the body is broken.
+// Response is a response whose header has been received. Body must be closed. A read
+// error other than io.EOF means that the body is incomplete.
 type Response struct {
 	Status int
 	Header http.Header
-	// ContentLength is -1 when it is not known.
+	// ContentLength is -1 if it is unknown.
 	ContentLength int64
 	Body          io.ReadCloser
 }
 
-// Failure is the error of a request without an answer.
+// Failure is the error of a request that got no response.
 type Failure struct {
-	// Sent says that bytes were written: the other side may have acted on
-	// them. If not, the request did not run.
+	// Sent is true if any bytes were written, so that the receiver may have
+	// run the request. Otherwise it did not run.
 	Sent  bool
 	Cause error
 }
@@ -65,38 +65,38 @@
 	return "not sent: " + f.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// IsSilence reports whether a request failed because the other side's VM gave no
-// answer at all, not even that nobody listens there.
+// IsHostUnresponsive reports whether a request failed because the receiver's VM did not
+// respond at all, not even by refusing the connection.
 func IsHostUnresponsive(err error) bool {
 	var timeout net.Error
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, syscall.EHOSTUNREACH) || errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// maxStray is how many answers to other requests are read past on the way to
-// one's own, and maxStrayBytes the size of one of them.
+// maxUnmatched limits how many responses are read to find that of the request, and
+// maxUnmatchedBytes the size of each response to another request.
 const (
-	maxStray      = 4
-	maxStrayBytes = 4 << 20
+	maxUnmatched      = 4
+	maxUnmatchedBytes = 4 << 20
 )
 
 var (
-	errStray   = errors.New("too many answers to other requests")
-	errUpgrade = errors.New("the answer changes the protocol")
-	errLate    = errors.New("the deadline is over")
+	errUnmatched      = errors.New("too many answers to other requests")
+	errProtocolChange = errors.New("the answer changes the protocol")
+	errDeadline       = errors.New("the deadline is over")
 )
 
-// Do sends the request to an address, an IP:port, and returns its answer. When
-// ctx ends, the connection is reset, so that the other side stops working. The
-// error is always a *Failure.
+// Do sends the request to an address (IP:port) and returns the response. When ctx ends,
+// the connection is reset, so that the receiver can stop running the request. The error
+// is always a *Failure.
 func (p *Pool) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	c, err := p.get(ctx, address)
 	if err != nil {
 		return nil, &Failure{Cause: err}
 	}
-	c.writeBy, _ = ctx.Deadline()
+	c.writeDeadline, _ = ctx.Deadline()
 	stop := context.AfterFunc(ctx, c.abort)
 	if ctx.Err() != nil {
 		stop()
@@ -105,19 +105,19 @@
 	}
 	written := make(chan error, 1)
 	c.wrote.Store(false)
-	if longBody(r) {
-		// The other side may answer before it has read a long body.
+	if isLongBody(r) {
+		// The receiver may respond before it has read a long body.
 		go func() { written <- c.write(r) }()
 	} else {
 		written <- c.write(r)
 	}
-	response, err := c.answer(r)
+	response, err := c.readResponse(r)
 	if err != nil {
 		stop()
 		c.close(true)
 		return nil, &Failure{Sent: c.wrote.Load(), Cause: firstError(ctx.Err(), err)}
 	}
-	body := &body{ReadCloser: response.Body, conn: c, stop: stop, written: written, response: response}
+	body := &body{ReadCloser: response.Body, conn: c, stop: stop, writeDone: written, response: response}
 	return &Response{Status: response.StatusCode, Header: response.Header, ContentLength: response.ContentLength, Body: body}, nil
 }
 
@@ -130,16 +130,16 @@
 	return nil
 }
 
-// smallBody is what fits the socket's buffer, so that writing it can't wait for
-// a reader that answers first.
-const smallBody = 8 << 10
+// smallBodyBytes is the size up to which a body fits into the socket buffer, so that the
+// write can't block on a receiver that responds before it reads the body.
+const smallBodyBytes = 8 << 10
 
-func longBody(r *Request) bool {
-	return r.Body != nil && (r.ContentLength < 0 || r.ContentLength > smallBody)
+func isLongBody(r *Request) bool {
+	return r.Body != nil && (r.ContentLength < 0 || r.ContentLength > smallBodyBytes)
 }
 
-// write sends the request. The caller's headers go out as they are; net/http
-// would add a User-Agent of its own to requests that have none.
+// write writes the request. An empty User-Agent is set if there is none, because net/http
+// would otherwise add its own.
 func (c *conn) write(r *Request) error {
 	request := &http.Request{
 		Method: r.Method, URL: rawURL(r.URI), Host: r.Host, Header: r.Header,
@@ -157,7 +157,7 @@
 	return c.writer.Flush()
 }
 
-// rawURL keeps the bytes of the path as the caller wrote them.
+// rawURL returns a URL that preserves the bytes of the path as sent by the caller.
 func rawURL(uri string) *url.URL {
 	if strings.HasPrefix(uri, "//") {
 		path, query, _ := strings.Cut(uri, "?")
@@ -166,36 +166,37 @@
 	return &url.URL{Opaque: uri}
 }
 
-// answer reads up to the header of the request's own answer.
-func (c *conn) answer(r *Request) (*http.Response, error) {
-	for range maxStray {
-		response, err := c.next(r.Method)
+// readResponse returns the response to the request once its header is read. Responses to
+// other requests are skipped.
+func (c *conn) readResponse(r *Request) (*http.Response, error) {
+	for range maxUnmatched {
+		response, err := c.readFinalResponse(r.Method)
 		if err != nil {
 			return nil, err
 		}
 		if r.IDHeader == "" || response.Header.Get(r.IDHeader) == r.ID {
 			return response, nil
 		}
-		size, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes))
+		size, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxUnmatchedBytes))
 		if err != nil {
 			return nil, err
 		}
-		if response.Close || size == maxStrayBytes {
-			return nil, errors.Wrap(errStray, "the connection ends with one")
+		if response.Close || size == maxUnmatchedBytes {
+			return nil, errors.Wrap(errUnmatched, "the connection ends with one")
 		}
 	}
-	return nil, errStray
+	return nil, errUnmatched
 }
 
-// next reads the next final response.
-func (c *conn) next(method string) (*http.Response, error) {
+// readFinalResponse returns the next response that is not informational (1xx).
+func (c *conn) readFinalResponse(method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errUpgrade
+			return nil, errProtocolChange
 		}
 		if response.StatusCode >= http.StatusOK {
 			return response, nil
@@ -203,15 +204,15 @@
 	}
 }
 
-// body gives the connection back when it has been read whole, and resets the
-// connection when it is given up before.
+// body is a response body. It returns the connection to the pool when it has been read
+// completely, and resets the connection if it is closed before.
 type body struct {
 	io.ReadCloser
-	conn     *conn
-	stop     func() bool
-	written  chan error
-	response *http.Response
-	done     bool
+	conn      *conn
+	stop      func() bool
+	writeDone chan error
+	response  *http.Response
+	done      bool
 }
 
 // Read implements io.Reader.
@@ -229,38 +230,38 @@
 	return nil
 }
 
-func (b *body) finish(whole bool) {
+func (b *body) finish(complete bool) {
 	if b.done {
 		return
 	}
 	b.done = true
-	live := b.stop()
+	reusable := b.stop()
 	select {
-	case err := <-b.written:
-		live = live && err == nil
+	case err := <-b.writeDone:
+		reusable = reusable && err == nil
 	default:
-		// Answered early: the rest of the request's body is still on its way,
-		// and the next request would be read as a part of it.
-		live = false
+		// The response came before the request's body was written completely.
+		// The receiver would read the next request as a part of that body.
+		reusable = false
 	}
-	if whole && live && !b.response.Close && b.conn.reader.Buffered() == 0 {
-		b.conn.pool.put(b.conn, idleFor(b.response.Header))
+	if complete && reusable && !b.response.Close && b.conn.reader.Buffered() == 0 {
+		b.conn.pool.put(b.conn, keepAliveTimeout(b.response.Header))
 		return
 	}
-	b.conn.close(!whole || !live)
+	b.conn.close(!complete || !reusable)
 }
 
-// writeTracker notes the first byte that goes out.
+// writeTracker records when the first byte of a request is written.
 type writeTracker struct {
 	net.Conn
 	conn *conn
 }
 
-// Write implements io.Writer. The deadline is looked at once more before the first
-// byte: a process that was paused wakes with requests whose time is over.
+// Write implements io.Writer. It checks the deadline again before the first byte, because
+// the deadline may have passed while the process was paused.
 func (w writeTracker) Write(p []byte) (int, error) {
-	if !w.conn.wrote.Load() && !w.conn.writeBy.IsZero() && !time.Now().Before(w.conn.writeBy) {
-		return 0, errLate
+	if !w.conn.wrote.Load() && !w.conn.writeDeadline.IsZero() && !time.Now().Before(w.conn.writeDeadline) {
+		return 0, errDeadline
 	}
 	n, err := w.Conn.Write(p)
 	if n > 0 {
@@ -269,20 +270,22 @@
 	return n, err
 }
 
-// idleMargin is kept from the time after which the other side says it closes an
-// idle connection: a request that meets the close has an unknown outcome.
+// idleMargin is how long before the receiver's announced idle timeout a connection is no
+// longer used: a request sent while the receiver closes the connection has an unknown
+// outcome.
 const idleMargin = time.Second
 
-// idleFor reads the Keep-Alive header's timeout; zero when there is none.
-func idleFor(header http.Header) time.Duration {
+// keepAliveTimeout returns the timeout in the Keep-Alive header, less idleMargin, or zero
+// if there is none.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, value := range header["Keep-Alive"] {
 		for part := range strings.SplitSeq(value, ",") {
 			text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 			if !ok {
 				continue
 			}
-			if seconds, err := time.ParseDuration(text + "s"); err == nil {
-				return max(seconds-idleMargin, time.Millisecond)
+			if timeout, err := time.ParseDuration(text + "s"); err == nil {
+				return max(timeout-idleMargin, time.Millisecond)
 			}
 		}
 	}
--- a/internal/adapter/exchange/exchange_test.go
+++ b/internal/adapter/exchange/exchange_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// server accepts connections and hands each request on one, with its number on
-// that connection from 0, to serve.
+// server starts a listener that calls serve for each request. The number counts the
+// requests on a connection from 0. accepted returns the number of accepted connections.
 func server(t *testing.T, serve func(c net.Conn, request *http.Request, number int)) (address string, accepted func() int) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -55,11 +55,11 @@
 	return NewPool(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, AckTimeout: time.Second, MaxIdle: 4})
 }
 
-func answer(id, body string) string {
+func responseText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func ask(p *Pool, address, id string) (string, error) {
+func send(p *Pool, address, id string) (string, error) {
 	response, err := p.Do(context.Background(), address, &Request{
 		Method: "POST", URI: "/x?y", Host: "h", Header: http.Header{}, IDHeader: "Id", ID: id,
 		Body: strings.NewReader("body"), ContentLength: 4,
@@ -72,60 +72,61 @@
 	return string(body), err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	address, accepted := server(t, func(c net.Conn, r *http.Request, number int) {
 		body, _ := io.ReadAll(r.Body)
-		_, _ = io.WriteString(c, answer(r.Header.Get("X"), fmt.Sprintf("%d %s %s %s", number, r.URL, body, r.UserAgent())))
+		_, _ = io.WriteString(c, responseText(r.Header.Get("X"), fmt.Sprintf("%d %s %s %s", number, r.URL, body, r.UserAgent())))
 	})
 	p := pool()
 	for number := range 3 {
-		got, err := ask(p, address, "")
+		got, err := send(p, address, "")
 		assert.NilError(t, err)
 		assert.Equal(t, got, fmt.Sprintf("%d /x?y body ", number))
 	}
 	assert.Equal(t, accepted(), 1)
 }
 
-// A target sends a second answer to a request, late: it arrives where the answer
-// to the next request on the connection is expected. The next caller gets its
-// own answer all the same, from the same connection.
+// Guards against a caller that gets the response of another. A target sends a second
+// response to a request, which arrives when the response to the next request on the
+// connection is expected. It must be skipped, and the connection stays in use.
 func TestLateSecondAnswerIsReadPast(t *testing.T) {
 	address, accepted := server(t, func(c net.Conn, r *http.Request, number int) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if number > 0 {
-			_, _ = io.WriteString(c, answer(fmt.Sprint("id", number-1), "stray"))
+			_, _ = io.WriteString(c, responseText(fmt.Sprint("id", number-1), "stray"))
 		}
-		_, _ = io.WriteString(c, answer(fmt.Sprint("id", number), fmt.Sprint("own", number)))
+		_, _ = io.WriteString(c, responseText(fmt.Sprint("id", number), fmt.Sprint("own", number)))
 	})
 	p := pool()
 	for number := range 3 {
-		got, err := ask(p, address, fmt.Sprint("id", number))
+		got, err := send(p, address, fmt.Sprint("id", number))
 		assert.NilError(t, err)
 		assert.Equal(t, got, fmt.Sprint("own", number))
 	}
 	assert.Equal(t, accepted(), 1)
 }
 
-// Bytes arrive on an idle connection, or its other side closes it. The next
-// request takes a new connection.
-func TestConnectionThatIsNotQuietIsDropped(t *testing.T) {
+// Guards against a request that is written to an unusable connection: the target sends
+// unexpected bytes on an idle connection, or closes it. The next request must use a new
+// connection.
+func TestUnusableConnectionIsDropped(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
 		after func(c net.Conn)
 	}{
-		{"extra bytes", func(c net.Conn) { _, _ = io.WriteString(c, answer("id", "extra")) }},
+		{"extra bytes", func(c net.Conn) { _, _ = io.WriteString(c, responseText("id", "extra")) }},
 		{"closed", func(c net.Conn) { _ = c.Close() }},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			address, accepted := server(t, func(c net.Conn, r *http.Request, _ int) {
 				_, _ = io.Copy(io.Discard, r.Body)
-				_, _ = io.WriteString(c, answer("id", "own"))
+				_, _ = io.WriteString(c, responseText("id", "own"))
 				time.Sleep(20 * time.Millisecond)
 				test.after(c)
 			})
 			p := pool()
 			for range 2 {
-				got, err := ask(p, address, "id")
+				got, err := send(p, address, "id")
 				assert.NilError(t, err)
 				assert.Equal(t, got, "own")
 				time.Sleep(100 * time.Millisecond)
@@ -135,43 +136,44 @@
 	}
 }
 
-// A target rejects a long body before it is in, keeps the connection and reads
-// on. The next request must not be read as a part of that body.
-func TestConnectionOfAnEarlyAnswerIsDropped(t *testing.T) {
+// Guards against a request that is read as a part of the previous body. A target
+// responds before it has received a long body completely, and continues to read. The next
+// request must use a new connection.
+func TestConnectionWithEarlyResponseIsDropped(t *testing.T) {
 	address, accepted := server(t, func(c net.Conn, _ *http.Request, _ int) {
-		_, _ = io.WriteString(c, answer("id", "too large"))
+		_, _ = io.WriteString(c, responseText("id", "too large"))
 		time.Sleep(100 * time.Millisecond)
 	})
 	p := pool()
-	body, feed := io.Pipe()
+	body, bodyWriter := io.Pipe()
 	response, err := p.Do(context.Background(), address, &Request{
 		Method: "POST", URI: "/", Host: "h", Header: http.Header{}, IDHeader: "Id", ID: "id", Body: body, ContentLength: 1 << 20,
 	})
 	assert.NilError(t, err)
 	_, err = io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	_ = feed.Close()
-	_, err = ask(p, address, "id")
+	_ = bodyWriter.Close()
+	_, err = send(p, address, "id")
 	assert.NilError(t, err)
 	assert.Equal(t, accepted(), 2)
 }
 
-// What a failed request proves: one that could not be written did not run, one
-// that was written may have.
+// Guards against a wrong outcome of a failed request: one that could not be written did
+// not run, and one that was written may have run.
 func TestFailureTellsWhetherBytesWereSent(t *testing.T) {
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	_ = gone.Close()
-	breaks, _ := server(t, func(c net.Conn, _ *http.Request, _ int) { _ = c.Close() })
+	_ = closed.Close()
+	breaking, _ := server(t, func(c net.Conn, _ *http.Request, _ int) { _ = c.Close() })
 	for _, test := range []struct {
 		desc, address string
 		sent          bool
 	}{
-		{"nobody listens", gone.Addr().String(), false},
-		{"breaks off", breaks, true},
+		{"nothing listens on the port", closed.Addr().String(), false},
+		{"connection closed without a response", breaking, true},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			_, err := ask(pool(), test.address, "id")
+			_, err := send(pool(), test.address, "id")
 			var failure *Failure
 			assert.Assert(t, errors.As(err, &failure))
 			assert.Equal(t, failure.Sent, test.sent)
@@ -179,13 +181,14 @@
 	}
 }
 
-// An answer without a length ends with its connection. Cut by a reset it is
-// broken, not whole.
+// Guards against an incomplete response that is taken for a complete one. A response
+// without a length ends when its connection is closed; if the connection is reset, the
+// response is incomplete.
 func TestUnframedAnswerCutByAReset(t *testing.T) {
 	for _, test := range []struct {
-		desc   string
-		linger int
-		whole  bool
+		desc     string
+		linger   int
+		complete bool
 	}{
 		{"closed", -1, true},
 		{"reset", 0, false},
@@ -198,16 +201,16 @@
 				_ = c.(*net.TCPConn).SetLinger(test.linger)
 				_ = c.Close()
 			})
-			got, err := ask(pool(), address, "id")
+			got, err := send(pool(), address, "id")
 			assert.Equal(t, got, "part")
-			assert.Equal(t, err == nil, test.whole)
+			assert.Equal(t, err == nil, test.complete)
 		})
 	}
 }
 
-// The caller goes away while a target works. The target sees its connection
-// reset and can stop.
-func TestCancelReachesTheOtherSide(t *testing.T) {
+// When the caller disconnects while a target runs its request, the connection must be
+// reset, so that the target can stop.
+func TestCancelResetsTheConnection(t *testing.T) {
 	reset := make(chan error, 1)
 	address, _ := server(t, func(c net.Conn, r *http.Request, _ int) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -221,7 +224,7 @@
 	assert.Assert(t, <-reset != nil)
 }
 
-func TestIdleForReadsKeepAlive(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for _, test := range []struct {
 		value string
 		want  time.Duration
@@ -236,12 +239,12 @@
 		if test.value != "" {
 			header.Set("Keep-Alive", test.value)
 		}
-		assert.Equal(t, idleFor(header), test.want, test.value)
+		assert.Equal(t, keepAliveTimeout(header), test.want, test.value)
 	}
 }
 
-// Guards against a request that is started after its deadline by a process that was
-// paused just before it wrote.
+// Guards against a request that is started after its deadline because the process was
+// paused just before the write.
 func TestNothingIsWrittenPastTheDeadline(t *testing.T) {
 	for _, test := range []struct {
 		desc    string
@@ -254,17 +257,17 @@
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			var out bytes.Buffer
-			c := &conn{writeBy: test.writeBy}
+			c := &conn{writeDeadline: test.writeBy}
 			c.writer = bufio.NewWriter(writeTracker{recordingConn{out: &out}, c})
 			err := c.write(&Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}})
-			assert.Equal(t, errors.Is(err, errLate), test.late)
+			assert.Equal(t, errors.Is(err, errDeadline), test.late)
 			assert.Equal(t, out.Len() == 0, test.late)
 			assert.Equal(t, c.wrote.Load(), !test.late)
 		})
 	}
 }
 
-// recordingConn keeps what is written to it.
+// recordingConn records the bytes written to it.
 type recordingConn struct {
 	net.Conn
 	out *bytes.Buffer
@@ -272,14 +275,15 @@
 
 func (c recordingConn) Write(p []byte) (int, error) { return c.out.Write(p) }
 
-// Guards against taking a target for dead that listens, and a new connection for each look.
-func TestRefusedTellsWhetherAnybodyListens(t *testing.T) {
+// Guards against reporting a target that listens as not listening, and against opening a
+// new connection for each check.
+func TestConnectionRefused(t *testing.T) {
 	address, accepted := server(t, func(c net.Conn, r *http.Request, _ int) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		_, _ = io.WriteString(c, answer("id", "own"))
+		_, _ = io.WriteString(c, responseText("id", "own"))
 	})
 	p := pool()
-	_, err := ask(p, address, "id")
+	_, err := send(p, address, "id")
 	assert.NilError(t, err)
 	assert.Assert(t, !p.ConnectionRefused(context.Background(), address))
 	assert.Equal(t, accepted(), 1)
--- a/internal/adapter/exchange/pool.go
+++ b/internal/adapter/exchange/pool.go
@@ -14,21 +14,21 @@
 	"github.com/pkg/errors"
 )
 
-// Options are the times of a pool.
+// Options are the timeouts and limits of a pool.
 type Options struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time for opening a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection is kept without use where the other
-	// side doesn't say how long it keeps it.
+	// IdleTimeout is the maximum time that an idle connection is kept. A shorter
+	// timeout announced by the receiver takes precedence.
 	IdleTimeout time.Duration
-	// SilenceTimeout ends a connection whose other side acknowledges nothing
-	// for so long.
+	// AckTimeout is the time after which a connection is closed if the receiver
+	// acknowledges no data or keep-alive probes.
 	AckTimeout time.Duration
-	// MaxIdle bounds the kept connections to one address.
+	// MaxIdle limits the number of idle connections per address.
 	MaxIdle int
 }
 
-// Pool keeps connections by address. It is safe for concurrent use.
+// Pool holds connections by address. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
@@ -51,36 +51,36 @@
 	return p
 }
 
-// control bounds how long written bytes may stay unacknowledged. A partition
-// that drops packets without a reset would otherwise hold each request on the
-// connection until its own deadline.
+// control sets a limit on how long written bytes may stay unacknowledged. Without it, a
+// network partition that drops packets would delay each request on the connection until
+// the request's own deadline.
 func (p *Pool) control(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.options.AckTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.options.AckTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(failed, "TCP_USER_TIMEOUT")
+	return errors.Wrap(optErr, "TCP_USER_TIMEOUT")
 }
 
-// conn is one connection, held by one request at a time.
+// conn is a connection that is used by one request at a time.
 type conn struct {
 	net.Conn
 	pool    *Pool
 	address string
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// wrote says that the current request's first byte went out.
+	// wrote is true once the first byte of the current request is written.
 	wrote atomic.Bool
-	// writeBy is when that byte must have gone out; zero for no bound.
-	writeBy time.Time
-	// until is when an idle connection is given up.
-	until time.Time
+	// writeDeadline is the latest time for writing that byte; zero means no limit.
+	writeDeadline time.Time
+	// idleUntil is the time at which an idle connection expires.
+	idleUntil time.Time
 }
 
-// Opened is how many connections the pool has opened.
+// Opened returns the number of connections that the pool has opened.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +88,7 @@
 }
 
 func (p *Pool) get(ctx context.Context, address string) (*conn, error) {
-	if c := p.takeQuiet(address); c != nil {
+	if c := p.takeUsable(address); c != nil {
 		return c, nil
 	}
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
@@ -103,11 +103,11 @@
 	return c, nil
 }
 
-// Refused reports whether nobody listens at an address. No connection is opened while an
-// idle one is sound.
+// ConnectionRefused reports whether an address refuses connections because nothing
+// listens on it. It opens no connection if there is a usable idle one.
 func (p *Pool) ConnectionRefused(ctx context.Context, address string) bool {
-	if c := p.takeQuiet(address); c != nil {
-		p.put(c, time.Until(c.until))
+	if c := p.takeUsable(address); c != nil {
+		p.put(c, time.Until(c.idleUntil))
 		return false
 	}
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
@@ -118,10 +118,11 @@
 	return false
 }
 
-// takeQuiet returns an idle connection that may be used, or nil.
-func (p *Pool) takeQuiet(address string) *conn {
+// takeUsable removes a usable idle connection from the pool and returns it, or returns nil
+// if there is none. It closes the unusable ones that it finds.
+func (p *Pool) takeUsable(address string) *conn {
 	for c := p.take(address); c != nil; c = p.take(address) {
-		if time.Now().Before(c.until) && c.quiet() {
+		if time.Now().Before(c.idleUntil) && c.usable() {
 			return c
 		}
 		c.close(false)
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// take returns the connection used last, so that those beyond the usual need
-// grow old and are closed.
+// take removes the most recently used idle connection from the pool and returns it, or
+// nil. Connections in excess of the usual load therefore stay idle until they expire.
 func (p *Pool) take(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +148,7 @@
 	if idle == 0 || idle > p.options.IdleTimeout {
 		idle = p.options.IdleTimeout
 	}
-	c.until = time.Now().Add(idle)
+	c.idleUntil = time.Now().Add(idle)
 	p.mu.Lock()
 	kept := p.idle[c.address]
 	full := len(kept) >= p.options.MaxIdle
@@ -160,18 +161,18 @@
 	}
 }
 
-// CloseIdle closes connections that nobody used for their time, and forgets
-// addresses without any.
+// CloseIdle closes the expired idle connections and removes addresses that have no idle
+// connections left.
 func (p *Pool) CloseIdle(now time.Time) {
 	p.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for address, kept := range p.idle {
 		live := kept[:0]
 		for _, c := range kept {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				live = append(live, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		p.idle[address] = live
@@ -180,12 +181,13 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.close(false)
 	}
 }
 
-// Forget closes the idle connections to an address, whose other side is gone.
+// CloseAddress closes the idle connections to an address whose target or node has been
+// removed.
 func (p *Pool) CloseAddress(address string) {
 	p.mu.Lock()
 	kept := p.idle[address]
@@ -196,10 +198,10 @@
 	}
 }
 
-// quiet reports whether an idle connection is open with nothing to read. The
-// other side may have closed it, or sent bytes that answer nothing; either way
-// the next request must not be written to it.
-func (c *conn) quiet() bool {
+// usable reports whether an idle connection is open and has no data to read. If the
+// receiver has closed it, or sent data that belongs to no request, no further request
+// must be written to it.
+func (c *conn) usable() bool {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -208,31 +210,31 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = control.Read(func(fd uintptr) bool {
 		var peek [1]byte
 		_, _, err := unix.Recvfrom(int(fd), peek[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		usable = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-// longAgo makes reads and writes end at once.
-var longAgo = time.Unix(1, 0)
+// pastTime is a deadline that makes reads and writes fail immediately.
+var pastTime = time.Unix(1, 0)
 
+// abort makes pending and further reads and writes fail.
 func (c *conn) abort() {
-	// It fails only on a closed connection.
-	_ = c.SetDeadline(longAgo)
+	// This fails only on a closed connection.
+	_ = c.SetDeadline(pastTime)
 }
 
-// close ends the connection, with a reset where the other side is to stop
-// working on a request.
+// close closes the connection, with a reset if the receiver should stop running a request.
 func (c *conn) close(reset bool) {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && reset {
-		// It fails only on a closed connection.
+		// This fails only on a closed connection.
 		_ = tcp.SetLinger(0)
 	}
-	// The error of a close tells nothing that could be acted on.
+	// The error is ignored: no action could be taken on it.
 	_ = c.Conn.Close()
 }
