--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -11,26 +11,28 @@
 	"tamarackquay/internal/port"
 )
 
-// Entry serves one caller's request; it is the only writer of the answer.
+// Entry handles callers' requests.
 type Entry interface {
+	// ServeCaller handles one request. Nothing else writes to w.
 	ServeCaller(w http.ResponseWriter, r *http.Request)
 }
 
-// Limits bound what a caller may send.
+// Limits are the maximum sizes of a caller's request.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
 
-// hardHeaderFactor is how far over the limit headers are still read. Past it
-// net/http answers 431 by itself and closes the connection, without the typed
-// body; up to it the caller is told what was too large and that nothing ran.
+// hardHeaderFactor is the multiple of the header limit up to which headers are read. For
+// larger headers, net/http itself responds with 431, without an Outcome as the body, and
+// closes the connection. Up to this size, the response states the exceeded limit and that
+// the request did not run.
 const hardHeaderFactor = 2
 
-// readHeaderTimeout ends connections that dribble their headers.
+// readHeaderTimeout closes connections whose callers send headers too slowly.
 const readHeaderTimeout = 10 * time.Second
 
-// NewServer returns the callers' server; the caller of NewServer binds it.
+// NewServer returns the server for callers. The caller of NewServer provides the listener.
 func NewServer(entry Entry, limits Limits) *Server {
 	e := echo.New()
 	e.HideBanner = true
@@ -38,7 +40,7 @@
 		serve(entry, limits, c.Response(), c.Request())
 		return nil
 	})
-	s := &Server{served: make(chan struct{}), conns: map[*conn]struct{}{}}
+	s := &Server{acceptDone: make(chan struct{}), conns: map[*conn]struct{}{}}
 	s.Server = &http.Server{
 		Handler:           e,
 		MaxHeaderBytes:    hardHeaderFactor * limits.HeaderBytes,
--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -17,7 +17,7 @@
 	"tamarackquay/internal/port"
 )
 
-// entryFunc reads the whole body, as forwarding it does, and answers.
+// entryFunc is an Entry that reads the complete body, as forwarding does, and responds.
 type entryFunc func(r *http.Request, body []byte, err error)
 
 func (f entryFunc) ServeCaller(w http.ResponseWriter, r *http.Request) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// send starts the callers' listener and sends the raw text.
+// send starts a server, sends the raw text to it and returns the response and its outcome.
 func send(t *testing.T, entry Entry, raw string) (*http.Response, callhttp.Outcome) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,17 +50,17 @@
 	return response, outcome
 }
 
-// Each request is measured against the limit; that must cost no allocation.
-func TestMeasuringHeadersAllocatesNothing(t *testing.T) {
+// The header size of every request is checked, so the check must not allocate.
+func TestHeaderBytesAllocatesNothing(t *testing.T) {
 	request := httptest.NewRequest(http.MethodGet, "/tallies/1", nil)
 	request.Header.Set("Authorization", "Bearer x")
 	assert.Equal(t, testing.AllocsPerRun(100, func() { callhttp.HeaderBytes(request) }), 0.0)
 }
 
-// A caller that sends too much is told what was too large and, where that is
-// so, that nothing ran; the process goes on. Past twice the limit, headers are
-// not even read.
-func TestOversizedRequestsAreTold(t *testing.T) {
+// Guards against a crash or a wrong response caused by an oversized request. The response
+// must state which limit was exceeded and, if that is certain, that the request did not
+// run. Headers over twice the limit are not read.
+func TestOversizedRequestsAreRefused(t *testing.T) {
 	header := func(bytes int) string { return "X-Large: " + strings.Repeat("a", bytes) + "\r\n" }
 	chunk := strings.Repeat("b", 2<<10)
 	for _, test := range []struct {
@@ -76,9 +76,9 @@
 			http.StatusRequestHeaderFieldsTooLarge, port.ReasonHeaderTooLarge, false},
 		{"headers far over the limit", "GET / HTTP/1.1\r\nHost: x\r\n" + header(64<<10) + "\r\n",
 			http.StatusRequestHeaderFieldsTooLarge, "", false},
-		{"body over the limit, length told", fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(chunk), chunk),
+		{"body over the limit, length given", fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(chunk), chunk),
 			http.StatusRequestEntityTooLarge, port.ReasonBodyTooLarge, false},
-		{"body over the limit, length not told",
+		{"body over the limit, length not given",
 			fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(chunk), chunk),
 			http.StatusBadGateway, "", true},
 	} {
--- a/internal/adapter/callerhttp/idle.go
+++ b/internal/adapter/callerhttp/idle.go
@@ -17,21 +17,21 @@
 	"tamarackquay/internal/port"
 )
 
-// Server is the callers' server with a polite end for idle connections.
+// Server is the HTTP server for callers. It closes idle connections gracefully.
 //
-// A server that closes an idle connection may close it at the moment at which a
-// caller sends a request on it. The caller sees its connection die and can't
-// know whether its return was filed. CloseIdle therefore answers before it
-// closes: a caller that sent nothing drops the connection, and one whose
-// request crosses the answer takes it for its own. It says "did not run", which
-// is true, since nothing is read from the connection any more.
+// A server may close an idle connection at the moment at which a caller sends a request
+// on it. The caller then gets a connection error and can't know whether its request ran.
+// CloseIdle therefore sends a response before it closes a connection. A caller that has
+// sent nothing drops the connection. A caller that has just sent a request takes it for
+// the response to that request. The response says that the request did not run, which
+// is true, because nothing more is read from the connection.
 type Server struct {
 	*http.Server
 
-	// served is closed when Run has accepted its last connection.
-	served chan struct{}
+	// acceptDone is closed when Run accepts no more connections.
+	acceptDone chan struct{}
 
-	// stopping is set when the listener is about to be closed.
+	// stopping is true once the listener is about to be closed.
 	stopping atomic.Bool
 
 	mu       sync.Mutex
@@ -39,22 +39,21 @@
 	conns    map[*conn]struct{}
 }
 
-// Run serves the listener's connections until StopAccepting or Shutdown. It is
-// called once.
+// Run serves the listener's connections until StopAccepting or Shutdown is called. It
+// must be called only once.
 func (s *Server) Run(listener net.Listener) error {
-	defer close(s.served)
+	defer close(s.acceptDone)
 	s.mu.Lock()
 	s.listener = listener
 	s.mu.Unlock()
-	return s.Serve(&tracked{Listener: listener, server: s})
+	return s.Serve(&trackingListener{Listener: listener, server: s})
 }
 
-// StopAccepting takes the callers that have connected, closes the listener and waits
-// until every connection that was accepted is known to the server. Shutdown alone
-// may overlook one that was accepted at that moment: the process then ends with it
-// open, and its caller sees the end of a connection on which it has just sent a
-// return. Callers that connect from now on are refused by the kernel and know that
-// nothing ran.
+// StopAccepting accepts the connections that are already established, closes the
+// listener and waits until the server tracks every accepted connection. Shutdown alone
+// may miss a connection that is accepted at the same time: the process would exit while
+// it is open, and the caller's connection would break after it has sent a request. The
+// kernel refuses later connections, so that their callers know that nothing ran.
 func (s *Server) StopAccepting() error {
 	s.mu.Lock()
 	listener := s.listener
@@ -63,43 +62,48 @@
 		return nil
 	}
 	var err error
-	if bounded, ok := listener.(deadliner); ok {
+	if withDeadline, ok := listener.(deadlineListener); ok {
 		s.stopping.Store(true)
-		err = bounded.SetDeadline(time.Now())
+		err = withDeadline.SetDeadline(time.Now())
 	} else {
 		err = listener.Close()
 	}
-	<-s.served
+	<-s.acceptDone
 	return err
 }
 
-// deadliner is a listener whose wait for callers can be bounded, as that of TCP.
-type deadliner interface{ SetDeadline(time.Time) error }
+// deadlineListener is a listener whose Accept supports a deadline, such as
+// *net.TCPListener.
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
 const (
-	// lastCall is for how long nobody must have connected before the listener is
-	// closed, and mostLastCalls bounds the time for it where callers go on coming.
-	lastCall      = 20 * time.Millisecond
-	mostLastCalls = 200 * time.Millisecond
+	// acceptGrace is the time without new connections after which a stopping server
+	// closes the listener.
+	acceptGrace = 20 * time.Millisecond
+	// maxAcceptGrace is the maximum time that the listener stays open if further
+	// connections keep arriving.
+	maxAcceptGrace = 200 * time.Millisecond
 )
 
-type tracked struct {
+// trackingListener registers each accepted connection with the server.
+type trackingListener struct {
 	net.Listener
 	server *Server
-	// closeBy is when a stopping server closes the listener at the latest; zero
-	// until it stops. Called says that callers were waited for since the last one.
-	closeBy time.Time
-	called  bool
+	// closeDeadline is the latest time at which a stopping server closes the
+	// listener. It is zero until the server stops.
+	closeDeadline time.Time
+	// waited is true if acceptGrace has started since the last accepted connection.
+	waited bool
 }
 
-// Accept implements net.Listener. When the server stops, the kernel may hold callers
-// that have connected and were not accepted yet, for milliseconds on a busy machine.
-// Closing the listener resets their connections, on which they may have sent a
-// request by then. So it is closed once nobody has come for a moment.
-func (l *tracked) Accept() (net.Conn, error) {
+// Accept implements net.Listener. When the server stops, the kernel's accept queue may
+// contain established connections, for milliseconds on a busy machine. Closing the
+// listener resets them, although their callers may have sent requests. Therefore the
+// listener is closed only after no connection has arrived for acceptGrace.
+func (l *trackingListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	for l.server.stopping.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
-		if err := l.awaitLast(); err != nil {
+		if err := l.waitOrClose(); err != nil {
 			return nil, err
 		}
 		accepted, err = l.Listener.Accept()
@@ -107,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.called = false
+	l.waited = false
 	c := &conn{Conn: accepted, fresh: true, since: time.Now()}
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
@@ -115,26 +119,26 @@
 	return c, nil
 }
 
-// awaitLast lets Accept wait for callers once more, or closes the listener.
-func (l *tracked) awaitLast() error {
+// waitOrClose starts a further wait for connections, or closes the listener.
+func (l *trackingListener) waitOrClose() error {
 	now := time.Now()
-	if l.closeBy.IsZero() {
-		l.closeBy = now.Add(mostLastCalls)
+	if l.closeDeadline.IsZero() {
+		l.closeDeadline = now.Add(maxAcceptGrace)
 	}
-	if l.called || !now.Before(l.closeBy) {
+	if l.waited || !now.Before(l.closeDeadline) {
 		return l.Close()
 	}
-	l.called = true
-	return l.Listener.(deadliner).SetDeadline(now.Add(lastCall))
+	l.waited = true
+	return l.Listener.(deadlineListener).SetDeadline(now.Add(acceptGrace))
 }
 
 // track implements http.Server.ConnState.
-func (s *Server) track(tracked net.Conn, state http.ConnState) {
-	c, ok := tracked.(*conn)
+func (s *Server) track(netConn net.Conn, state http.ConnState) {
+	c, ok := netConn.(*conn)
 	if !ok {
 		return
 	}
-	c.enter(state)
+	c.setState(state)
 	if state == http.StateClosed || state == http.StateHijacked {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -142,18 +146,18 @@
 	}
 }
 
-// awaitPoll is how often AwaitIdle looks.
-const awaitPoll = 10 * time.Millisecond
+// closedPollInterval is how often AwaitClosed checks for open connections.
+const closedPollInterval = 10 * time.Millisecond
 
-// AwaitIdle waits until no connection is open, or ctx ends. The node refuses
-// what still comes, and its answers close their connections. A caller that sends
-// on a connection at the very moment at which it is closed can't be helped by
-// any server (RFC 9112, section 9.5); leaving the idle ones open for a while
-// leaves only those that nobody uses.
+// AwaitClosed waits until no connection is open, or ctx ends. Meanwhile the node refuses
+// new requests and closes their connections with the response. No server can avoid the
+// failure of a request that is sent at the moment at which its connection is closed (RFC
+// 9112, section 9.5). After this wait, only connections that callers don't use are left
+// to be closed.
 func (s *Server) AwaitClosed(ctx context.Context) {
-	ticker := time.NewTicker(awaitPoll)
+	ticker := time.NewTicker(closedPollInterval)
 	defer ticker.Stop()
-	for s.open() > 0 {
+	for s.openConns() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -162,65 +166,69 @@
 	}
 }
 
-func (s *Server) open() int {
+func (s *Server) openConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// CloseIdle ends all connections on which no request has arrived. Requests that
-// have arrived go on.
+// CloseIdle closes all idle connections, except new ones whose first request has not
+// arrived yet. Requests that have arrived are still served.
 func (s *Server) CloseIdle() error {
-	farewell, err := callhttp.FinalRefusal(port.Refuse(port.ReasonStopping, time.Second, "this node is stopping; ask another"))
+	final, err := callhttp.FinalRefusal(port.Refuse(port.ReasonStopping, time.Second, "this node is stopping; ask another"))
 	if err != nil {
 		return err
 	}
 	var closing sync.WaitGroup
 	for _, c := range s.connections() {
-		closing.Go(func() { c.end(farewell) })
+		closing.Go(func() { c.closeIfIdle(final) })
 	}
 	closing.Wait()
 	return nil
 }
 
-// connections returns those that are open now.
+// connections returns the open connections.
 func (s *Server) connections() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.conns))
 }
 
-// farewellTime is how long the farewell may take to write, and how long the
-// caller then has to read it before its late request causes a reset.
-const farewellTime = 100 * time.Millisecond
+// finalResponseTimeout is the time for writing the final response and for the caller to
+// read it. After that, a late request of the caller would cause a reset.
+const finalResponseTimeout = 100 * time.Millisecond
 
-// errEnded is what the server reads from a connection that has ended.
-var errEnded = errors.New("the node is stopping")
+// errClosing is the error of a read from a connection that is being closed.
+var errClosing = errors.New("the connection is being closed")
 
-// conn is a caller's connection that can be ended while it is idle.
+// conn is a caller's connection that can be closed gracefully while it is idle.
 type conn struct {
 	net.Conn
 
 	mu sync.Mutex
-	// fresh says that nothing came yet. A caller that has just connected is
-	// about to send its request, and would take an answer that comes before
-	// it for a fault of the connection; the request itself is answered.
+	// fresh is true until the first byte is received. A caller that has just
+	// connected is about to send its request, and would take a response before it
+	// for a connection error. Its request is answered instead.
 	fresh bool
-	// active says that the server works on a request, unanswered that bytes
-	// came since the last answer. Bytes of a request may have been read before
-	// the server says that it is active.
-	active     bool
-	unanswered bool
-	ended      bool
-	// since is when the connection was opened, when its last answer ended or,
-	// after that, when the first byte of a request came.
+	// active is true while the server handles a request.
+	active bool
+	// requestPending is true if bytes were received since the last response. It may
+	// be true before active, since the server sets active only after it has read
+	// some bytes of a request.
+	requestPending bool
+	// closing is true once the server reads nothing more from the connection.
+	closing bool
+	// since is the time at which the current wait began: when the connection was
+	// opened, when the last response ended or when the first byte of a request
+	// arrived, whichever is the latest.
 	since time.Time
 }
 
-// NetConn returns the connection underneath.
+// NetConn returns the underlying connection.
 func (c *conn) NetConn() net.Conn { return c.Conn }
 
-func (c *conn) enter(state http.ConnState) {
+// setState records a state change reported by http.Server.
+func (c *conn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.active = state == http.StateActive
@@ -234,14 +242,14 @@
 	count, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
-		return 0, errEnded
+	if c.closing {
+		return 0, errClosing
 	}
 	if count > 0 {
-		if !c.unanswered {
+		if !c.requestPending {
 			c.since = time.Now()
 		}
-		c.unanswered = true
+		c.requestPending = true
 		c.fresh = false
 	}
 	return count, err
@@ -250,41 +258,41 @@
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.unanswered = false
+	c.requestPending = false
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-// end says farewell unless a request has arrived. From the moment on at which
-// ended is set, the server gets nothing more to read from the connection.
-func (c *conn) end(farewell []byte) {
+// closeIfIdle sends the final response unless the connection is new or a request has
+// arrived. Once closing is set, the server reads nothing more from the connection.
+func (c *conn) closeIfIdle(final []byte) {
 	c.mu.Lock()
-	if c.fresh || c.active || c.unanswered {
+	if c.fresh || c.active || c.requestPending {
 		c.mu.Unlock()
 		return
 	}
-	c.ended = true
+	c.closing = true
 	c.mu.Unlock()
-	c.leave(farewell)
+	c.sendFinalResponse(final)
 }
 
-// leave writes the last answer of a connection from which the server reads
-// nothing more, and ends it.
-func (c *conn) leave(farewell []byte) {
-	deadline := time.Now().Add(farewellTime)
+// sendFinalResponse writes the final response of a connection from which the server reads
+// nothing more, and closes the write side.
+func (c *conn) sendFinalResponse(final []byte) {
+	deadline := time.Now().Add(finalResponseTimeout)
 	_ = c.Conn.SetWriteDeadline(deadline)
-	if _, err := c.Conn.Write(farewell); err != nil {
+	if _, err := c.Conn.Write(final); err != nil {
 		return
 	}
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	// What still arrives is dropped; closing with it unread would reset the
-	// connection and could take the farewell from the caller.
+	// Received data is read and discarded. Closing the connection with unread data
+	// would reset it, and the caller could lose the final response.
 	_ = c.Conn.SetReadDeadline(deadline)
-	drop := make([]byte, 4096)
+	buf := make([]byte, 4096)
 	for {
-		if _, err := c.Conn.Read(drop); err != nil {
+		if _, err := c.Conn.Read(buf); err != nil {
 			return
 		}
 	}
--- a/internal/adapter/callerhttp/idle_test.go
+++ b/internal/adapter/callerhttp/idle_test.go
@@ -22,10 +22,11 @@
 	_, _ = io.WriteString(w, "whole")
 }
 
-// A caller sends a request on an idle connection at the moment at which the
-// stopping node ends it. It is told that the request did not run, and it did
-// not; a request that came just before is answered whole, and so is the first
-// one of a connection that was opened before the end.
+// Guards against requests that are lost or wrongly reported when a stopping node closes
+// idle connections. A request that is sent on an idle connection while the node closes it
+// gets the response that it did not run, and does not run. A request that arrived just
+// before gets its complete response, and so does the first request on a connection that
+// was opened before the close.
 func TestRequestThatCrossesTheEnd(t *testing.T) {
 	entry := &countingEntry{}
 	server := NewServer(entry, Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10})
@@ -40,11 +41,11 @@
 		assert.NilError(t, conn.SetDeadline(time.Now().Add(5*time.Second)))
 		return conn, bufio.NewReader(conn)
 	}
-	ask := func(conn net.Conn) {
+	sendRequest := func(conn net.Conn) {
 		_, err := io.WriteString(conn, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 		assert.NilError(t, err)
 	}
-	answer := func(reader *bufio.Reader) *http.Response {
+	readResponse := func(reader *bufio.Reader) *http.Response {
 		response, err := http.ReadResponse(reader, nil)
 		assert.NilError(t, err)
 		_, err = io.ReadAll(response.Body)
@@ -53,55 +54,56 @@
 	}
 	fresh, freshReader := open()
 	used, usedReader := open()
-	ask(used)
-	answer(usedReader)
+	sendRequest(used)
+	readResponse(usedReader)
 	busy, busyReader := open()
-	ask(busy)
+	sendRequest(busy)
 	time.Sleep(20 * time.Millisecond)
 
 	assert.NilError(t, server.StopAccepting())
 	_, err = net.Dial("tcp", listener.Addr().String())
-	assert.Assert(t, err != nil, "a listener that is closed takes no caller")
+	assert.Assert(t, err != nil, "the closed listener accepted a connection")
 
 	ended := make(chan error)
 	go func() { ended <- server.CloseIdle() }()
-	time.Sleep(farewellTime / 4)
+	time.Sleep(finalResponseTimeout / 4)
 	for _, conn := range []net.Conn{fresh, used} {
 		// The write may meet a connection that is closed already.
 		_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	}
 	assert.NilError(t, <-ended)
-	refused := answer(usedReader)
+	refused := readResponse(usedReader)
 	assert.Equal(t, refused.Header.Get(callhttp.HeaderOutcome), callhttp.OutcomeDidNotRun)
 	assert.Assert(t, refused.Close)
-	assert.Equal(t, answer(freshReader).StatusCode, http.StatusOK)
-	assert.Equal(t, answer(busyReader).StatusCode, http.StatusOK)
+	assert.Equal(t, readResponse(freshReader).StatusCode, http.StatusOK)
+	assert.Equal(t, readResponse(busyReader).StatusCode, http.StatusOK)
 	assert.Equal(t, entry.served.Load(), int32(3))
 }
 
-// busyListener stands for a process that gets no processor time: it accepts nobody
-// until it is released.
-type busyListener struct {
+// blockedListener simulates a process that gets no CPU time: it accepts no connection
+// until released is closed.
+type blockedListener struct {
 	*net.TCPListener
 	released chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l busyListener) Accept() (net.Conn, error) {
+func (l blockedListener) Accept() (net.Conn, error) {
 	<-l.released
 	return l.TCPListener.Accept()
 }
 
-// Callers have connected and sent a request, and the kernel holds them for a busy
-// node that is told to stop just then. Each gets its answer: closing the listener at
-// once would reset them, and they could not know whether their request ran.
+// Guards against resetting established connections that a stopping node has not accepted
+// yet. Callers have connected and sent requests to a busy node when it is stopped. If the
+// listener were closed immediately, their connections would be reset, and they could not
+// know whether the requests ran. Each must get a response.
 func TestStopTakesTheCallersThatHaveConnected(t *testing.T) {
 	entry := &countingEntry{}
 	server := NewServer(entry, Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	busy := busyListener{listener.(*net.TCPListener), make(chan struct{})}
-	go func() { _ = server.Run(busy) }()
+	blocked := blockedListener{listener.(*net.TCPListener), make(chan struct{})}
+	go func() { _ = server.Run(blocked) }()
 	defer server.Close()
 	const callers = 5
 	var conns []net.Conn
@@ -115,8 +117,8 @@
 	}
 	stopped := make(chan error)
 	go func() { stopped <- server.StopAccepting() }()
-	time.Sleep(2 * lastCall)
-	close(busy.released)
+	time.Sleep(2 * acceptGrace)
+	close(blocked.released)
 	assert.NilError(t, <-stopped)
 	for _, conn := range conns {
 		assert.NilError(t, conn.SetDeadline(time.Now().Add(5*time.Second)))
@@ -126,5 +128,5 @@
 	}
 	assert.Equal(t, entry.served.Load(), int32(callers))
 	_, err = net.Dial("tcp", listener.Addr().String())
-	assert.Assert(t, err != nil, "a listener that is closed takes no caller")
+	assert.Assert(t, err != nil, "the closed listener accepted a connection")
 }
--- a/internal/adapter/callerhttp/overdue.go
+++ b/internal/adapter/callerhttp/overdue.go
@@ -7,31 +7,29 @@
 	"tamarackquay/internal/port"
 )
 
-// Waits bound how long a caller may keep a connection waiting. Zero means no
-// bound.
+// Timeouts are the timeouts of callers' connections. Zero means no timeout.
 type Timeouts struct {
-	// Header bounds the time from the first byte of a request to the end of its
-	// headers, Idle that between two requests.
+	// Header limits the time from the first byte of a request to the end of its
+	// headers, and Idle the time between two requests.
 	Header, Idle time.Duration
 }
 
-// CloseOverdue ends the connections whose callers keep them waiting longer than
-// they may. Without it a caller that dribbles its headers, or opens connections
-// and leaves them, takes descriptors and memory until the process has none left.
-// http.Server has the same bounds, but they can't change with the configuration
-// while it serves. It returns how many were ended.
-func (s *Server) CloseTimedOut(now time.Time, waits Timeouts) (int, error) {
-	tooSlow, err := callhttp.FinalRefusal(port.Refuse(port.ReasonHeaderTooSlow, 0, "the headers did not come within %s", waits.Header))
+// CloseTimedOut closes the connections that have exceeded a timeout, and returns their
+// number. Without it, callers that send headers very slowly, or open connections and don't
+// use them, could exhaust the file descriptors and memory of the process. http.Server has
+// the same timeouts, but they can't be changed with the configuration while it serves.
+func (s *Server) CloseTimedOut(now time.Time, timeouts Timeouts) (int, error) {
+	final, err := callhttp.FinalRefusal(port.Refuse(port.ReasonHeaderTooSlow, 0, "the headers did not come within %s", timeouts.Header))
 	if err != nil {
 		return 0, err
 	}
 	ended := 0
 	for _, c := range s.connections() {
-		switch c.overdue(now, waits) {
-		case dribbles:
-			go c.leave(tooSlow)
-		case idles:
-			// The other side may have closed it meanwhile.
+		switch c.checkTimeout(now, timeouts) {
+		case headerTimeout:
+			go c.sendFinalResponse(final)
+		case idleTimeout:
+			// This fails if the caller has closed the connection meanwhile.
 			_ = c.Conn.Close()
 		default:
 			continue
@@ -41,30 +39,30 @@
 	return ended, nil
 }
 
-// overdueness says in which way a connection waits for too long.
-type overdueness uint8
+// timeoutKind is the timeout that a connection has exceeded.
+type timeoutKind uint8
 
 const (
-	inTime overdueness = iota
-	dribbles
-	idles
+	noTimeout timeoutKind = iota
+	headerTimeout
+	idleTimeout
 )
 
-// overdue judges the connection and, if it is overdue, lets the server read
-// nothing more from it.
-func (c *conn) overdue(now time.Time, waits Timeouts) overdueness {
+// checkTimeout returns the timeout that the connection has exceeded, if any, and then
+// makes the server read nothing more from it.
+func (c *conn) checkTimeout(now time.Time, timeouts Timeouts) timeoutKind {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	waited := now.Sub(c.since)
 	switch {
-	case c.active || c.ended:
-		return inTime
-	case c.unanswered && waits.Header > 0 && waited > waits.Header:
-		c.ended = true
-		return dribbles
-	case !c.unanswered && waits.Idle > 0 && waited > waits.Idle:
-		c.ended = true
-		return idles
+	case c.active || c.closing:
+		return noTimeout
+	case c.requestPending && timeouts.Header > 0 && waited > timeouts.Header:
+		c.closing = true
+		return headerTimeout
+	case !c.requestPending && timeouts.Idle > 0 && waited > timeouts.Idle:
+		c.closing = true
+		return idleTimeout
 	}
-	return inTime
+	return noTimeout
 }
--- a/internal/adapter/callerhttp/overdue_test.go
+++ b/internal/adapter/callerhttp/overdue_test.go
@@ -13,11 +13,11 @@
 	"tamarackquay/internal/adapter/callhttp"
 )
 
-// One caller sends half of its headers and stops, one leaves its connection open
-// after an answer, one waits for a slow answer. When the first two have kept the
-// node waiting longer than they may, the first is told that nothing ran, the
-// second is closed, and the third gets its answer.
-func TestCallersThatKeepTheNodeWaitingAreEnded(t *testing.T) {
+// Guards against connections that stay open after a timeout, and against closing those
+// that wait for a response. One caller sends half of its headers, one keeps its connection
+// open after a response, and one waits for a slow response. After their timeouts the first
+// gets a refusal and the second is closed; the third gets its response.
+func TestSlowAndIdleConnectionsAreClosed(t *testing.T) {
 	entry := &countingEntry{}
 	server := NewServer(entry, Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,33 +35,33 @@
 	}
 	const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	_, idle := open(request)
-	answer, err := http.ReadResponse(idle, nil)
+	response, err := http.ReadResponse(idle, nil)
 	assert.NilError(t, err)
-	_, err = io.ReadAll(answer.Body)
+	_, err = io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	_, dribbling := open(request[:20])
+	_, slow := open(request[:20])
 	_, busy := open(request)
 	time.Sleep(20 * time.Millisecond)
 
-	waits := Timeouts{Header: time.Second, Idle: 10 * time.Second}
-	ended, err := server.CloseTimedOut(time.Now().Add(900*time.Millisecond), waits)
+	timeouts := Timeouts{Header: time.Second, Idle: 10 * time.Second}
+	ended, err := server.CloseTimedOut(time.Now().Add(900*time.Millisecond), timeouts)
 	assert.NilError(t, err)
 	assert.Equal(t, ended, 0)
-	ended, err = server.CloseTimedOut(time.Now().Add(2*time.Second), waits)
+	ended, err = server.CloseTimedOut(time.Now().Add(2*time.Second), timeouts)
 	assert.NilError(t, err)
 	assert.Equal(t, ended, 1)
-	told, err := http.ReadResponse(dribbling, nil)
+	refused, err := http.ReadResponse(slow, nil)
 	assert.NilError(t, err)
-	assert.Equal(t, told.StatusCode, http.StatusRequestTimeout)
-	assert.Equal(t, told.Header.Get(callhttp.HeaderOutcome), callhttp.OutcomeDidNotRun)
+	assert.Equal(t, refused.StatusCode, http.StatusRequestTimeout)
+	assert.Equal(t, refused.Header.Get(callhttp.HeaderOutcome), callhttp.OutcomeDidNotRun)
 
-	ended, err = server.CloseTimedOut(time.Now().Add(11*time.Second), waits)
+	ended, err = server.CloseTimedOut(time.Now().Add(11*time.Second), timeouts)
 	assert.NilError(t, err)
-	assert.Equal(t, ended, 1, "the busy one is not overdue")
+	assert.Equal(t, ended, 1, "the connection that waits for a response must stay open")
 	_, err = idle.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	whole, err := http.ReadResponse(busy, nil)
+	completed, err := http.ReadResponse(busy, nil)
 	assert.NilError(t, err)
-	assert.Equal(t, whole.StatusCode, http.StatusOK)
+	assert.Equal(t, completed.StatusCode, http.StatusOK)
 	assert.Equal(t, entry.served.Load(), int32(2))
 }
