--- a/internal/adapter/peerforward/peerforward.go
+++ b/internal/adapter/peerforward/peerforward.go
@@ -1,7 +1,7 @@
-// Package peerforward carries calls from an entry node to the owner node of a
-// target. It uses HTTP/1.1 over mutual TLS in place of the WebSocket that
-// carries control messages: bodies of any size then have their own connection,
-// with the transport's own flow control and cancellation.
+// Package peerforward forwards calls from an entry node to the owner node of a target. It
+// uses HTTP/1.1 over mutual TLS instead of the WebSocket for control messages, so that
+// bodies of any size have their own connection, with the flow control and cancellation of
+// the transport.
 package peerforward
 
 import (
@@ -19,7 +19,7 @@
 	"tamarackquay/internal/port"
 )
 
-// Prefix comes before the caller's path on the peers' listener.
+// Prefix is prepended to the caller's path in requests to the peers' listener.
 const Prefix = "/peer/call"
 
 // Client implements port.Forwarder.
@@ -32,18 +32,18 @@
 
 const (
 	maxIdlePerPeer = 32
-	// maxIdle bounds the idle connections to all peers together: at the size
-	// to design for a node has 1,599 peers, and TLS state costs memory.
+	// maxIdle limits the idle connections to all peers together. At the design size
+	// of the fleet a node has 1,599 peers, and TLS state uses memory.
 	maxIdle     = 512
 	idleTimeout = 30 * time.Second
-	// dialTimeout bounds connection and handshake. Between regions they take
-	// two round trips, some 80 ms. The kernel of a VM whose process is paused
-	// still accepts connections: a longer wait would use up the deadline of a
-	// request that another target could have served.
+	// dialTimeout limits the time for connecting and the TLS handshake, which
+	// between regions take two round trips, about 80 ms. The kernel of a VM whose
+	// process is paused still accepts connections; a longer timeout would use up the
+	// deadline of a request that another target could have served.
 	dialTimeout = 500 * time.Millisecond
 )
 
-// NewClient returns a forwarder that proves itself with the identity.
+// NewClient returns a client that authenticates itself with the identity.
 func NewClient(identity *peertls.Config, now func() time.Time) *Client {
 	return &Client{
 		now: now,
@@ -57,8 +57,8 @@
 	}
 }
 
-// dialer opens guarded connections. The handshake is made here, below the
-// guard, so that only bytes of requests count as written.
+// dialer returns a function that opens guarded connections. The TLS handshake is done
+// below the guard, so that only bytes of requests count as written.
 func dialer(config *tls.Config) func(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &tls.Dialer{NetDialer: &net.Dialer{Timeout: dialTimeout}, Config: config}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -81,8 +81,8 @@
 	if err := callhttp.ReadError(response); err != nil {
 		return nil, err
 	}
-	// Answers are matched by id: one that belongs to another request, late on
-	// a reused connection, would give a caller someone else's return.
+	// Responses are matched by id. Otherwise a late response to another request on a
+	// reused connection would be given to the wrong caller.
 	if id := response.Header.Get(callhttp.HeaderRequestID); id != call.ID {
 		response.Body.Close()
 		return nil, &port.UnknownOutcome{Stage: "owner", Cause: errors.Errorf("the owner answered request %q", id)}
@@ -96,9 +96,9 @@
 func (c *Client) headers(call *port.Call) http.Header {
 	return http.Header{
 		callhttp.HeaderRequestID: {call.ID},
-		headerTerms:              {encodeTerms(call, c.now())},
+		headerMeta:               {encodeMeta(call, c.now())},
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
--- a/internal/adapter/peerforward/peerforward_test.go
+++ b/internal/adapter/peerforward/peerforward_test.go
@@ -47,31 +47,32 @@
 
 func forward(t *testing.T, server, client *peertls.Config, handler http.Handler, body string) (*port.Response, error) {
 	t.Helper()
-	there := httptest.NewUnstartedServer(handler)
-	there.TLS = server.Server
-	there.StartTLS()
-	t.Cleanup(there.Close)
+	ts := httptest.NewUnstartedServer(handler)
+	ts.TLS = server.Server
+	ts.StartTLS()
+	t.Cleanup(ts.Close)
 	forwarder := NewClient(client, time.Now)
 	t.Cleanup(forwarder.Close)
 	call := &port.Call{ID: "id", Method: http.MethodPost, Target: "/returns?a=1", Header: http.Header{"X-A": {"1"}}, Deadline: time.Now().Add(5 * time.Second)}
 	if body != "" {
-		call.Body, call.ContentLength = io.NopCloser(&zeroReader{left: len(body)}), int64(len(body))
+		call.Body, call.ContentLength = io.NopCloser(&zeroReader{remaining: len(body)}), int64(len(body))
 	}
-	return forwarder.Forward(t.Context(), membership.VM{ID: "vm", PeerAddress: there.Listener.Addr().String()}, call)
+	return forwarder.Forward(t.Context(), membership.VM{ID: "vm", PeerAddress: ts.Listener.Addr().String()}, call)
 }
 
-type zeroReader struct{ left int }
+type zeroReader struct{ remaining int }
 
 func (r *zeroReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, io.EOF
 	}
-	count := min(len(p), r.left)
-	r.left -= count
+	count := min(len(p), r.remaining)
+	r.remaining -= count
 	return count, nil
 }
 
-// What a peer says of a call arrives as it was said, and only for this call.
+// Guards against changed or mixed-up outcomes: a refusal must arrive unchanged at the
+// entry node, and a response to another request must result in an unknown outcome.
 func TestOutcomesOverPeers(t *testing.T) {
 	peer := identity(t, authority(t))
 	refuse := NewHandler(ownerFunc(func(w http.ResponseWriter, _ *http.Request, call *port.Call) {
@@ -83,69 +84,70 @@
 	assert.Assert(t, errors.As(err, &refusal), "%v", err)
 	assert.Equal(t, *refusal, port.Refusal{Reason: port.ReasonQueueFull, RetryAfter: 1500 * time.Millisecond, Detail: "full"})
 
-	crossed := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	mismatched := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(callhttp.HeaderRequestID, "another")
-		_, _ = io.WriteString(w, "someone else's")
+		_, _ = io.WriteString(w, "response to another request")
 	})
-	_, err = forward(t, peer, peer, crossed, "")
+	_, err = forward(t, peer, peer, mismatched, "")
 	var unknown *port.UnknownOutcome
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 }
 
-// A process that is no peer sits at a peer's old address. Not a byte of the
-// caller's return reaches it, so the return did not run.
+// Guards against sending a request to a process that is not an authenticated peer but now
+// has a peer's old address. No byte of the request may reach it, so that the request is
+// proven not to have run.
 func TestStrangerGetsNothing(t *testing.T) {
-	stranger := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a stranger got the call") })
-	_, err := forward(t, identity(t, authority(t)), identity(t, authority(t)), stranger, "")
+	unknownPeer := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("an unknown peer received the call") })
+	_, err := forward(t, identity(t, authority(t)), identity(t, authority(t)), unknownPeer, "")
 	var refusal *port.Refusal
 	assert.Assert(t, errors.As(err, &refusal), "%v", err)
 	assert.Equal(t, refusal.Reason, port.ReasonUnreachable)
 }
 
-// An idle connection between two nodes, both of its ends in this process. The
-// figure is for docs/CAPACITY.md and gates nothing.
+// Measures the memory of an idle connection between two nodes, with both ends in this
+// process. The result is reported in docs/CAPACITY.md; the test does not check it.
 func TestMemoryOfIdleConnections(t *testing.T) {
 	if os.Getenv("TAMARACK_MEASURE") == "" {
 		t.Skip("a measurement; set TAMARACK_MEASURE=1")
 	}
 	const count = 100
 	peer := identity(t, authority(t))
-	all := make(chan struct{})
+	allArrived := make(chan struct{})
 	var arrived atomic.Int32
 	handler := NewHandler(ownerFunc(func(_ http.ResponseWriter, r *http.Request, _ *port.Call) {
 		if arrived.Add(1) == count {
-			close(all)
+			close(allArrived)
 		}
 		select {
-		case <-all:
+		case <-allArrived:
 		case <-r.Context().Done():
 		}
 	}), time.Now)
-	there := httptest.NewUnstartedServer(handler)
-	there.TLS = peer.Server
-	there.StartTLS()
-	defer there.Close()
+	ts := httptest.NewUnstartedServer(handler)
+	ts.TLS = peer.Server
+	ts.StartTLS()
+	defer ts.Close()
 	client := NewClient(peer, time.Now)
 	client.transport.MaxIdleConnsPerHost = count
 	defer client.Close()
-	before := inUse()
+	before := memoryInUse()
 	var calls sync.WaitGroup
 	for i := range count {
 		calls.Go(func() {
 			call := &port.Call{ID: strconv.Itoa(i), Method: http.MethodGet, Target: "/", Header: http.Header{}, Deadline: time.Now().Add(20 * time.Second)}
-			answer, err := client.Forward(t.Context(), membership.VM{PeerAddress: there.Listener.Addr().String()}, call)
+			response, err := client.Forward(t.Context(), membership.VM{PeerAddress: ts.Listener.Addr().String()}, call)
 			assert.Check(t, err)
 			if err == nil {
-				_, _ = io.Copy(io.Discard, answer.Body)
-				answer.Body.Close()
+				_, _ = io.Copy(io.Discard, response.Body)
+				response.Body.Close()
 			}
 		})
 	}
 	calls.Wait()
-	t.Logf("%d bytes a connection, both ends", (int64(inUse())-int64(before))/count)
+	t.Logf("%d bytes a connection, both ends", (int64(memoryInUse())-int64(before))/count)
 }
 
-func inUse() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/adapter/peerforward/server.go
+++ b/internal/adapter/peerforward/server.go
@@ -9,22 +9,22 @@
 	"tamarackquay/internal/port"
 )
 
-// Owner runs calls that entry nodes forward.
+// Owner runs calls that entry nodes forward to it.
 type Owner interface {
-	// Own answers the call on w. It must be the only writer.
+	// ServePeer runs the call and writes the response to w. Nothing else writes to w.
 	ServePeer(w http.ResponseWriter, r *http.Request, call *port.Call)
 }
 
-// Handler takes calls from proven peers.
+// Handler handles calls from authenticated peers.
 type Handler struct {
 	owner Owner
 	now   func() time.Time
 }
 
-// NewHandler returns a handler that hands calls to owner.
+// NewHandler returns a handler that passes calls to owner.
 func NewHandler(owner Owner, now func() time.Time) *Handler { return &Handler{owner: owner, now: now} }
 
-// ServeHTTP reads the call's terms from the headers.
+// ServeHTTP decodes the call from the request and passes it to the owner.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call := &port.Call{
 		ID:            r.Header.Get(callhttp.HeaderRequestID),
@@ -35,8 +35,8 @@
 		ContentLength: r.ContentLength,
 	}
 	w.Header().Set(callhttp.HeaderRequestID, call.ID)
-	if err := decodeTerms(r.Header.Get(headerTerms), h.now(), call); err != nil {
-		callhttp.WriteError(w, port.Refuse(port.ReasonBadRequest, 0, "header %s: %v", headerTerms, err))
+	if err := decodeMeta(r.Header.Get(headerMeta), h.now(), call); err != nil {
+		callhttp.WriteError(w, port.Refuse(port.ReasonBadRequest, 0, "header %s: %v", headerMeta, err))
 		return
 	}
 	h.owner.ServePeer(w, r, call)
--- a/internal/adapter/peerforward/terms.go
+++ b/internal/adapter/peerforward/terms.go
@@ -13,67 +13,67 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// headerTerms carries what the owner node must know of a call besides its HTTP
-// request. It is one header and not one for each term: net/http spends several
-// allocations on each header of each request.
-const headerTerms = callhttp.HeaderPrefix + "Terms"
+// headerMeta contains the call's metadata for the owner node, in addition to the HTTP
+// request. It is a single header, because net/http needs several allocations for each
+// header of each request.
+const headerMeta = callhttp.HeaderPrefix + "Terms"
 
-// termSeparator can stand in no escaped term, and HTTP does not trim it.
-const termSeparator = ";"
+// fieldSeparator can't occur in an escaped field, and HTTP does not trim it.
+const fieldSeparator = ";"
 
-// chainSeparator stands between the services of a chain.
+// chainSeparator separates the services of a chain.
 const chainSeparator = ","
 
-// The terms, in their order in the header. Names are escaped as in a query.
+// The metadata fields, in their order in the header. Names are escaped as in a query.
 const (
-	termCustomer = iota
-	termRoute
-	termService
-	termEntry
-	termVersion
-	termChain
-	termNoWait
-	termBudget
-	termStall
-	termCount
+	fieldCustomer = iota
+	fieldRoute
+	fieldService
+	fieldEntry
+	fieldVersion
+	fieldChain
+	fieldNoWait
+	fieldBudget
+	fieldStall
+	numFields
 )
 
-// encodeTerms renders the terms. What is left of the deadline travels, not the
-// deadline itself: the VMs' clocks need not agree.
-func encodeTerms(call *port.Call, now time.Time) string {
-	terms := [termCount]string{
-		termCustomer: url.QueryEscape(call.Customer),
-		termRoute:    url.QueryEscape(call.Route),
-		termService:  url.QueryEscape(call.Service),
-		termEntry:    url.QueryEscape(call.Entry),
-		termVersion:  call.Version.String(),
-		termChain:    url.QueryEscape(strings.Join(call.Chain, chainSeparator)),
-		termNoWait:   strconv.FormatBool(call.NoWait),
-		termBudget:   callhttp.FormatMillis(ownerBudget(call.Deadline.Sub(now))),
-		termStall:    callhttp.FormatMillis(call.StallTimeout),
+// encodeMeta encodes the metadata of a call. It contains the remaining time instead of the
+// deadline, because the VMs' clocks may differ.
+func encodeMeta(call *port.Call, now time.Time) string {
+	fields := [numFields]string{
+		fieldCustomer: url.QueryEscape(call.Customer),
+		fieldRoute:    url.QueryEscape(call.Route),
+		fieldService:  url.QueryEscape(call.Service),
+		fieldEntry:    url.QueryEscape(call.Entry),
+		fieldVersion:  call.Version.String(),
+		fieldChain:    url.QueryEscape(strings.Join(call.Chain, chainSeparator)),
+		fieldNoWait:   strconv.FormatBool(call.NoWait),
+		fieldBudget:   callhttp.FormatMillis(ownerBudget(call.Deadline.Sub(now))),
+		fieldStall:    callhttp.FormatMillis(call.StallTimeout),
 	}
-	return strings.Join(terms[:], termSeparator)
+	return strings.Join(fields[:], fieldSeparator)
 }
 
-// decodeTerms reads the terms into the call.
-func decodeTerms(text string, now time.Time, call *port.Call) error {
-	terms := strings.Split(text, termSeparator)
-	if len(terms) != termCount {
-		return errors.Errorf("%d terms in place of %d", len(terms), termCount)
+// decodeMeta decodes the metadata into the call.
+func decodeMeta(text string, now time.Time, call *port.Call) error {
+	fields := strings.Split(text, fieldSeparator)
+	if len(fields) != numFields {
+		return errors.Errorf("%d terms in place of %d", len(fields), numFields)
 	}
-	for i, into := range [...]*string{
-		termCustomer: &call.Customer, termRoute: &call.Route, termService: &call.Service, termEntry: &call.Entry,
+	for i, dst := range [...]*string{
+		fieldCustomer: &call.Customer, fieldRoute: &call.Route, fieldService: &call.Service, fieldEntry: &call.Entry,
 	} {
-		value, err := url.QueryUnescape(terms[i])
+		value, err := url.QueryUnescape(fields[i])
 		if err != nil {
 			return errors.Wrapf(err, "term %d", i)
 		}
-		*into = value
+		*dst = value
 	}
-	if err := decodeChain(terms[termChain], call); err != nil {
+	if err := decodeChain(fields[fieldChain], call); err != nil {
 		return err
 	}
-	return decodeNumbers(terms, now, call)
+	return decodeValues(fields, now, call)
 }
 
 func decodeChain(text string, call *port.Call) error {
@@ -87,34 +87,36 @@
 	return nil
 }
 
-func decodeNumbers(terms []string, now time.Time, call *port.Call) error {
+func decodeValues(fields []string, now time.Time, call *port.Call) error {
 	var err error
-	if call.Version, err = snapshot.ParseVersion(terms[termVersion]); err != nil {
+	if call.Version, err = snapshot.ParseVersion(fields[fieldVersion]); err != nil {
 		return errors.Wrap(err, "version")
 	}
-	if call.NoWait, err = strconv.ParseBool(terms[termNoWait]); err != nil {
+	if call.NoWait, err = strconv.ParseBool(fields[fieldNoWait]); err != nil {
 		return errors.Wrap(err, "no-wait")
 	}
-	budget, err := callhttp.ParseMillis(terms[termBudget])
+	budget, err := callhttp.ParseMillis(fields[fieldBudget])
 	if err != nil {
 		return errors.Wrap(err, "budget")
 	}
 	call.Deadline = now.Add(budget)
-	call.StallTimeout, err = callhttp.ParseMillis(terms[termStall])
+	call.StallTimeout, err = callhttp.ParseMillis(fields[fieldStall])
 	return errors.Wrap(err, "stall")
 }
 
 const (
-	// replyShare is the part of what is left of a deadline that is kept for the
-	// owner's answer to come back, and replyMax its bound: a round trip between
+	// replyDivisor sets the fraction of the remaining time, one tenth, that is
+	// reserved for sending the owner's response to the entry node.
+	replyDivisor = 10
+	// maxReplyTime is the maximum time reserved for that: a round trip between
 	// regions and the delays of a busy VM.
-	replyShare = 10
-	replyMax   = 100 * time.Millisecond
+	maxReplyTime = 100 * time.Millisecond
 )
 
-// ownerBudget is how long the owner may take for the first byte. An owner that
-// gave up at the very deadline would be heard only after the entry's own timer
-// had run out: a request that never left the queue would end as unknown.
+// ownerBudget returns the time that the owner may take until the first byte of the
+// response. If the owner timed out exactly at the deadline, its refusal would reach the
+// entry node only after the entry node's own timeout, and the outcome of a request that
+// never left the owner's queue would be unknown.
 func ownerBudget(left time.Duration) time.Duration {
-	return left - min(left/replyShare, replyMax)
+	return left - min(left/replyDivisor, maxReplyTime)
 }
