--- a/internal/adapter/targethttp/targethttp.go
+++ b/internal/adapter/targethttp/targethttp.go
@@ -1,4 +1,4 @@
-// Package targethttp runs calls on the VM's own target over HTTP.
+// Package targethttp runs calls on the local target over HTTP.
 package targethttp
 
 import (
@@ -25,13 +25,14 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// idleTimeout is below the 5 s after which common servers close an idle
-	// connection: a request that meets such a close has an unknown outcome.
+	// idleTimeout is shorter than the 5 s after which common servers close an idle
+	// connection: a request sent while the target closes the connection has an
+	// unknown outcome.
 	idleTimeout = 4 * time.Second
 )
 
-// New returns the target at address, an IP:port, with at most maxConnections
-// connections to it.
+// New returns the target at address (IP:port). At most maxConnections connections to it
+// are opened.
 func New(address string, maxConnections int) *Target {
 	return &Target{
 		address: address,
@@ -56,8 +57,8 @@
 
 // Do implements port.Target.
 func (t *Target) Do(ctx context.Context, call *port.Call) (*port.Response, error) {
-	// What is left of the deadline, and the chain of the calls that the target
-	// makes for this one: it passes both on to its own node.
+	// The target sends the remaining time and the chain to its own node with the
+	// calls that it makes while it runs this one.
 	extra := http.Header{
 		callhttp.HeaderRequestID: {call.ID},
 		callhttp.HeaderBudget:    {callhttp.FormatMillis(time.Until(call.Deadline))},
@@ -72,7 +73,7 @@
 		response.Body.Close()
 		return nil, port.Refuse(port.ReasonShed, callhttp.RetryAfter(response.Header), "the target shed the request before running it")
 	}
-	if err := checkAnswer(call, response); err != nil {
+	if err := checkResponse(call, response); err != nil {
 		response.Body.Close()
 		return nil, err
 	}
@@ -82,18 +83,19 @@
 	}, nil
 }
 
-// A target that sheds load before running a request says so in this header;
-// its status alone would not prove that nothing ran.
+// A target that sheds a request before running it sets this header. The status code alone
+// would not prove that nothing ran.
 const (
 	shedHeader = "Target-Shed"
 	shedNotRun = "not-run"
 )
 
-// checkAnswer refuses answers that can't be told to be whole and this call's
-// own. A body that ends with its connection looks whole when the target is
-// killed in the middle, so a caller would take half a log for all of it. A
-// target that names the request it answers must name this one.
-func checkAnswer(call *port.Call, response *http.Response) error {
+// checkResponse rejects responses that belong to another request or whose completeness
+// can't be verified. If the end of the connection marks the end of the body, a response
+// that is cut off because the target is killed looks complete, and a caller would take
+// half a log for all of it. If the response contains a request id, it must be that of the
+// call.
+func checkResponse(call *port.Call, response *http.Response) error {
 	if id := response.Header.Get(callhttp.HeaderRequestID); id != "" && id != call.ID {
 		return &port.UnknownOutcome{Stage: "answer", Cause: errors.Errorf("the target answered request %s", id)}
 	}
@@ -105,7 +107,7 @@
 
 var _ io.Closer = (*Target)(nil)
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (t *Target) Close() error {
 	t.transport.CloseIdleConnections()
 	return nil
--- a/internal/adapter/targethttp/targethttp_test.go
+++ b/internal/adapter/targethttp/targethttp_test.go
@@ -26,8 +26,9 @@
 	})
 }
 
-// What a target says of a request is believed where its protocol promises it,
-// and nowhere else: a target can't pass for a node.
+// Guards against a target that impersonates a node, and against wrong outcomes: a request
+// counts as refused only if the target reports exactly that it did not run, and a response
+// to another request makes the outcome unknown.
 func TestWhatTargetsSay(t *testing.T) {
 	cases := []struct {
 		desc    string
@@ -35,12 +36,12 @@
 		refused port.Reason
 		unknown bool
 	}{
-		{"an answer", http.Header{}, "", false},
+		{"a response", http.Header{}, "", false},
 		{"shed before running", http.Header{"Target-Shed": {"not-run"}, "Retry-After": {"3"}}, port.ReasonShed, false},
-		{"shed in other words", http.Header{"Target-Shed": {"maybe"}}, "", false},
-		{"the mark of a node", http.Header{"Tamarack-Outcome": {"did-not-run"}}, "", false},
-		{"the answer to another request", http.Header{"Tamarack-Request-Id": {"other"}}, "", true},
-		{"the answer to this request", http.Header{"Tamarack-Request-Id": {"id"}}, "", false},
+		{"unknown value of the shed header", http.Header{"Target-Shed": {"maybe"}}, "", false},
+		{"a header reserved for nodes", http.Header{"Tamarack-Outcome": {"did-not-run"}}, "", false},
+		{"the response to another request", http.Header{"Tamarack-Request-Id": {"other"}}, "", true},
+		{"the response to this request", http.Header{"Tamarack-Request-Id": {"id"}}, "", false},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
@@ -53,28 +54,28 @@
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}))
 			defer server.Close()
-			answer, err := do(t, strings.TrimPrefix(server.URL, "http://"))
+			response, err := do(t, strings.TrimPrefix(server.URL, "http://"))
 			var refusal *port.Refusal
 			var unknown *port.UnknownOutcome
 			assert.Equal(t, errors.As(err, &refusal), c.refused != "", "%v", err)
 			assert.Equal(t, errors.As(err, &unknown), c.unknown, "%v", err)
 			if err == nil {
-				passed := http.Header{}
-				callhttp.CopyHeader(passed, answer.Header)
-				assert.Equal(t, passed.Get(callhttp.HeaderOutcome), "")
-				answer.Body.Close()
+				forwarded := http.Header{}
+				callhttp.CopyHeader(forwarded, response.Header)
+				assert.Equal(t, forwarded.Get(callhttp.HeaderOutcome), "")
+				response.Body.Close()
 			}
 			assert.Equal(t, got.Get(callhttp.HeaderChain), "a,b,s")
-			left, err := callhttp.ParseMillis(got.Get(callhttp.HeaderBudget))
+			budget, err := callhttp.ParseMillis(got.Get(callhttp.HeaderBudget))
 			assert.NilError(t, err)
-			assert.Assert(t, left > 500*time.Millisecond && left <= time.Second)
+			assert.Assert(t, budget > 500*time.Millisecond && budget <= time.Second)
 		})
 	}
 }
 
-// A target answers without a length and is killed in the middle. The end of its
-// connection looks like the end of the body, so such an answer is never passed
-// on as whole.
+// Guards against an incomplete response that looks complete. A target responds without a
+// length and is killed in the middle. The end of its connection looks like the end of the
+// body, so such a response must never be forwarded.
 func TestAnswerThatEndsWithItsConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
