--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -1,4 +1,5 @@
-// Package operatorhttp serves operators: health, status, audit and metrics.
+// Package operatorhttp is the HTTP server for operators. It provides the health checks,
+// the status, the audit trail and the metrics of a node.
 package operatorhttp
 
 import (
@@ -14,27 +15,27 @@
 	"tamarackquay/internal/port"
 )
 
-// The paths that operators ask.
+// The paths of the server.
 const (
-	// PathAlive answers 200 while the process runs.
+	// PathAlive returns 200 while the process runs.
 	PathAlive = "/healthz"
-	// PathReady answers 200 while the node takes requests and 503 while it
-	// doesn't; the body's first word is the node's health state.
+	// PathReady returns 200 while the node accepts requests and 503 while it
+	// doesn't. The first word of the body is the node's health state.
 	PathReady   = "/readyz"
 	PathStatus  = "/status"
 	PathAudit   = "/audit"
 	PathMetrics = "/metrics"
 )
 
-// withoutMembers as the query parameter "members" leaves the list of members out
-// of a status.
+// withoutMembers is the value of the query parameter "members" that omits the list of
+// members from the status.
 const withoutMembers = "none"
 
-// PathBriefStatus is the status without the list of members: of 1,600 nodes,
-// each with 1,600 members, the lists alone would be most of a gigabyte.
+// PathBriefStatus is the path of the status without the list of members. In a fleet of
+// 1,600 nodes, the lists of all nodes together would be most of a gigabyte.
 const PathBriefStatus = PathStatus + "?members=" + withoutMembers
 
-// Node is what the pages show.
+// Node provides the status of the node.
 type Node interface {
 	Status() node.Status
 }
@@ -44,21 +45,22 @@
 	Write(w io.Writer)
 }
 
-// Trail is the audit trail that the pages show.
+// Trail provides the events of the audit trail.
 type Trail interface {
 	Events() []port.AuditEvent
 }
 
 const readHeaderTimeout = 10 * time.Second
 
-// NewServer returns the operators' server; the caller of NewServer binds it.
+// NewServer returns the server for operators. The caller of NewServer provides the
+// listener.
 func NewServer(n Node, trail Trail, meter Meter) *http.Server {
 	e := echo.New()
 	e.HideBanner = true
 	e.GET(PathAlive, func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
-	e.GET(PathReady, func(c echo.Context) error { return ready(c, n.Status().Health) })
-	e.GET(PathStatus, func(c echo.Context) error { return status(c, n.Status()) })
-	e.GET(PathAudit, func(c echo.Context) error { return audit(c, trail) })
+	e.GET(PathReady, func(c echo.Context) error { return writeReady(c, n.Status().Health) })
+	e.GET(PathStatus, func(c echo.Context) error { return writeStatus(c, n.Status()) })
+	e.GET(PathAudit, func(c echo.Context) error { return writeAudit(c, trail) })
 	e.GET(PathMetrics, func(c echo.Context) error {
 		meter.Write(c.Response())
 		return nil
@@ -66,14 +68,14 @@
 	return &http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-func status(c echo.Context, s node.Status) error {
+func writeStatus(c echo.Context, s node.Status) error {
 	if c.QueryParam("members") == withoutMembers {
 		s.Members = nil
 	}
 	return c.JSON(http.StatusOK, s)
 }
 
-func audit(c echo.Context, trail Trail) error {
+func writeAudit(c echo.Context, trail Trail) error {
 	filter, err := auditlog.ParseFilter(c.QueryParams())
 	if err != nil {
 		return c.String(http.StatusBadRequest, err.Error()+"\n")
@@ -81,7 +83,7 @@
 	return c.JSON(http.StatusOK, filter.Apply(trail.Events()))
 }
 
-func ready(c echo.Context, health node.Health) error {
+func writeReady(c echo.Context, health node.Health) error {
 	code := http.StatusServiceUnavailable
 	if health.Serving() {
 		code = http.StatusOK
--- a/internal/adapter/operatorhttp/operatorhttp_test.go
+++ b/internal/adapter/operatorhttp/operatorhttp_test.go
@@ -19,14 +19,14 @@
 
 func (n fixedNode) Status() node.Status { return node.Status{Health: n.health} }
 
-type noTrail struct{}
+type emptyTrail struct{}
 
-func (noTrail) Events() []port.AuditEvent { return nil }
+func (emptyTrail) Events() []port.AuditEvent { return nil }
 
-// A load balancer keeps sending callers to a node that serves on an old
-// configuration, since all its neighbours may be as old; an operator reads from
-// the same answer that it is old, since when and why.
-func TestReadyTellsOldConfigurationFromReady(t *testing.T) {
+// A node with an old configuration must return 200, so that a load balancer keeps sending
+// requests to it: all its neighbours may have the same old configuration. The body must
+// report to operators that the configuration is old, since when and why.
+func TestReadyReportsOldConfiguration(t *testing.T) {
 	since := time.Date(2026, 12, 3, 1, 2, 3, 0, time.UTC)
 	for _, test := range []struct {
 		state node.HealthState
@@ -40,17 +40,17 @@
 		t.Run(string(test.state), func(t *testing.T) {
 			n := fixedNode{node.Health{State: test.state, Since: since, Reasons: []string{"a reason"}}}
 			recorder := httptest.NewRecorder()
-			NewServer(n, noTrail{}, metrics.New()).Handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, PathReady, nil))
+			NewServer(n, emptyTrail{}, metrics.New()).Handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, PathReady, nil))
 			assert.Equal(t, recorder.Code, test.code)
 			assert.Equal(t, recorder.Body.String(), string(test.state)+" since 2026-12-03T01:02:03Z\na reason\n")
 		})
 	}
 }
 
-func TestPagesAnswer(t *testing.T) {
+func TestPages(t *testing.T) {
 	meter := metrics.New()
 	meter.Count(port.MetricRefused, "limit", 2)
-	handler := NewServer(fixedNode{}, noTrail{}, meter).Handler
+	handler := NewServer(fixedNode{}, emptyTrail{}, meter).Handler
 	for path, want := range map[string]string{
 		PathAlive: "ok", PathStatus: `"health":{`, PathAudit: "null", PathAudit + "?since=yesterday": "since", PathMetrics: `tamarack_requests_refused_total{by="limit"} 2`,
 	} {
@@ -61,12 +61,13 @@
 	}
 }
 
-// An operator asks 1,600 nodes for their status. With the members in it the
-// answers were most of a gigabyte; each must fit a few kilobytes.
+// Guards against large responses when an operator queries the status of 1,600 nodes. With
+// the lists of members, the responses together were most of a gigabyte. Each response
+// without them must fit into a few kilobytes.
 func TestBriefStatusOfALargeFleetIsSmall(t *testing.T) {
 	const members, limit = 1600, 4 << 10
 	s := node.Status{Members: make([]membership.Record, members), MemberCount: members}
-	handler := NewServer(fixedStatus(s), noTrail{}, metrics.New()).Handler
+	handler := NewServer(fixedStatus(s), emptyTrail{}, metrics.New()).Handler
 	size := func(path string) int {
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
