--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -13,7 +13,7 @@
 
 // Entry handles callers' requests.
 type Entry interface {
-	// ServeCaller handles one request. Nothing else writes to w.
+	// ServeCaller handles one request. It is the only writer of the response.
 	ServeCaller(w http.ResponseWriter, r *http.Request)
 }
 
--- a/internal/adapter/callerhttp/idle_test.go
+++ b/internal/adapter/callerhttp/idle_test.go
@@ -64,14 +64,14 @@
 	_, err = net.Dial("tcp", listener.Addr().String())
 	assert.Assert(t, err != nil, "the closed listener accepted a connection")
 
-	ended := make(chan error)
-	go func() { ended <- server.CloseIdle() }()
+	closeDone := make(chan error)
+	go func() { closeDone <- server.CloseIdle() }()
 	time.Sleep(finalResponseTimeout / 4)
 	for _, conn := range []net.Conn{fresh, used} {
-		// The write may meet a connection that is closed already.
+		// The write may fail because the connection is already closed.
 		_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	}
-	assert.NilError(t, <-ended)
+	assert.NilError(t, <-closeDone)
 	refused := readResponse(usedReader)
 	assert.Equal(t, refused.Header.Get(callhttp.HeaderOutcome), callhttp.OutcomeDidNotRun)
 	assert.Assert(t, refused.Close)
--- a/internal/adapter/callerhttp/overdue.go
+++ b/internal/adapter/callerhttp/overdue.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ended := 0
+	closed := 0
 	for _, c := range s.connections() {
 		switch c.checkTimeout(now, timeouts) {
 		case headerTimeout:
@@ -34,9 +34,9 @@
 		default:
 			continue
 		}
-		ended++
+		closed++
 	}
-	return ended, nil
+	return closed, nil
 }
 
 // timeoutKind is the timeout that a connection has exceeded.
@@ -48,8 +48,8 @@
 	idleTimeout
 )
 
-// checkTimeout returns the timeout that the connection has exceeded, if any, and then
-// makes the server read nothing more from it.
+// checkTimeout returns the timeout that the connection has exceeded, or noTimeout. If it
+// has exceeded one, the server reads nothing more from it.
 func (c *conn) checkTimeout(now time.Time, timeouts Timeouts) timeoutKind {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/adapter/callhttp/attempt.go
+++ b/internal/adapter/callhttp/attempt.go
@@ -18,8 +18,9 @@
 	errNoAttempt    = errors.New("the connection was not handed to a request")
 )
 
-// attempt tracks one attempt to send a request. It guarantees that a request that was
-// not written did not run, and that a request is written to at most one connection.
+// attempt tracks the writes of one attempt to send a request. It ensures that a request
+// reported as not written did not run, and that a request is written to at most one
+// connection.
 //
 // When a reused connection breaks, net/http itself sends a request again if its method
 // or an Idempotency-Key header makes it look replayable. If the target ran the request
--- a/internal/adapter/callhttp/roundtrip.go
+++ b/internal/adapter/callhttp/roundtrip.go
@@ -27,8 +27,9 @@
 // whose body must be closed. The transport must wrap its connections with Guard and use
 // HTTP/1.1.
 //
-// The call's deadline applies to the response header; the body may take longer. The
-// error is a *port.Refusal if no byte was written, and a *port.UnknownOutcome otherwise.
+// The call's deadline limits the wait for the response header; the body may take longer.
+// The error is a *port.Refusal if no byte was written, and a *port.UnknownOutcome
+// otherwise.
 func RoundTrip(ctx context.Context, transport http.RoundTripper, base string, call *port.Call, extra http.Header) (*http.Response, error) {
 	senderCtx := ctx
 	a := &attempt{deadline: call.Deadline, senderClosed: func() bool { return senderClosed(senderCtx) }}
--- a/internal/adapter/callhttp/roundtrip_test.go
+++ b/internal/adapter/callhttp/roundtrip_test.go
@@ -89,18 +89,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
-			plain := newCrashingTarget(t)
+			plainTarget := newCrashingTarget(t)
 			transport := &http.Transport{}
 			defer transport.CloseIdleConnections()
 			for _, path := range []string{"/warm", "/run"} {
-				request, err := http.NewRequest(c.method, plain.base()+path, nil)
+				request, err := http.NewRequest(c.method, plainTarget.base()+path, nil)
 				assert.NilError(t, err)
 				request.Header.Set(c.header, "4711")
 				if response, err := transport.RoundTrip(request); err == nil {
 					response.Body.Close()
 				}
 			}
-			assert.Equal(t, plain.runs.Load(), int32(2), "net/http no longer replays; the guard may be simplified")
+			assert.Equal(t, plainTarget.runs.Load(), int32(2), "net/http no longer replays; the guard may be simplified")
 
 			guardedTarget := newCrashingTarget(t)
 			guarded := guardedTransport()
--- a/internal/adapter/exchange/exchange_test.go
+++ b/internal/adapter/exchange/exchange_test.go
@@ -249,7 +249,7 @@
 	for _, test := range []struct {
 		desc    string
 		writeBy time.Time
-		late    bool
+		expired bool
 	}{
 		{"no deadline", time.Time{}, false},
 		{"before the deadline", time.Now().Add(time.Hour), false},
@@ -260,9 +260,9 @@
 			c := &conn{writeDeadline: test.writeBy}
 			c.writer = bufio.NewWriter(writeTracker{recordingConn{out: &out}, c})
 			err := c.write(&Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}})
-			assert.Equal(t, errors.Is(err, errDeadline), test.late)
-			assert.Equal(t, out.Len() == 0, test.late)
-			assert.Equal(t, c.wrote.Load(), !test.late)
+			assert.Equal(t, errors.Is(err, errDeadline), test.expired)
+			assert.Equal(t, out.Len() == 0, test.expired)
+			assert.Equal(t, c.wrote.Load(), !test.expired)
 		})
 	}
 }
--- a/internal/adapter/exchange/pool.go
+++ b/internal/adapter/exchange/pool.go
@@ -22,7 +22,7 @@
 	// timeout announced by the receiver takes precedence.
 	IdleTimeout time.Duration
 	// AckTimeout is the time after which a connection is closed if the receiver
-	// acknowledges no data or keep-alive probes.
+	// acknowledges neither data nor keep-alive probes.
 	AckTimeout time.Duration
 	// MaxIdle limits the number of idle connections per address.
 	MaxIdle int
@@ -186,8 +186,8 @@
 	}
 }
 
-// CloseAddress closes the idle connections to an address whose target or node has been
-// removed.
+// CloseAddress closes the idle connections to an address at which the receiver no longer
+// runs.
 func (p *Pool) CloseAddress(address string) {
 	p.mu.Lock()
 	kept := p.idle[address]
--- a/internal/adapter/peerforward/peerforward_test.go
+++ b/internal/adapter/peerforward/peerforward_test.go
@@ -75,11 +75,11 @@
 // entry node, and a response to another request must result in an unknown outcome.
 func TestOutcomesOverPeers(t *testing.T) {
 	peer := identity(t, authority(t))
-	refuse := NewHandler(ownerFunc(func(w http.ResponseWriter, _ *http.Request, call *port.Call) {
+	refusing := NewHandler(ownerFunc(func(w http.ResponseWriter, _ *http.Request, call *port.Call) {
 		assert.Check(t, call.Target == "/returns?a=1" && call.Header.Get("X-A") == "1")
 		callhttp.WriteError(w, port.Refuse(port.ReasonQueueFull, 1500*time.Millisecond, "full"))
 	}), time.Now)
-	_, err := forward(t, peer, peer, refuse, "signed")
+	_, err := forward(t, peer, peer, refusing, "signed")
 	var refusal *port.Refusal
 	assert.Assert(t, errors.As(err, &refusal), "%v", err)
 	assert.Equal(t, *refusal, port.Refusal{Reason: port.ReasonQueueFull, RetryAfter: 1500 * time.Millisecond, Detail: "full"})
--- a/internal/adapter/peerforward/server.go
+++ b/internal/adapter/peerforward/server.go
@@ -11,7 +11,7 @@
 
 // Owner runs calls that entry nodes forward to it.
 type Owner interface {
-	// ServePeer runs the call and writes the response to w. Nothing else writes to w.
+	// ServePeer runs the call and writes the response to w. It must be the only writer.
 	ServePeer(w http.ResponseWriter, r *http.Request, call *port.Call)
 }
 
--- a/internal/adapter/peerforward/terms_test.go
+++ b/internal/adapter/peerforward/terms_test.go
@@ -24,8 +24,8 @@
 	assert.NilError(t, decodeMeta(encodeMeta(&call, now), ownerNow, &got))
 	call.Deadline = ownerNow.Add(225 * time.Millisecond)
 	assert.DeepEqual(t, got, call)
-	late := port.Call{Deadline: now.Add(-time.Second)}
-	assert.NilError(t, decodeMeta(encodeMeta(&late, now), ownerNow, &got))
+	expired := port.Call{Deadline: now.Add(-time.Second)}
+	assert.NilError(t, decodeMeta(encodeMeta(&expired, now), ownerNow, &got))
 	assert.Equal(t, got.Deadline, ownerNow, "a passed deadline must not become an error or a new deadline")
 }
 
