--- a/internal/adapter/peerforward/peerforward_test.go
+++ b/internal/adapter/peerforward/peerforward_test.go
@@ -43,7 +43,9 @@
 
 type ownerFunc func(w http.ResponseWriter, r *http.Request, call *port.Call)
 
-func (f ownerFunc) ServePeer(w http.ResponseWriter, r *http.Request, call *port.Call) { f(w, r, call) }
+func (f ownerFunc) ServeForwarded(w http.ResponseWriter, r *http.Request, call *port.Call) {
+	f(w, r, call)
+}
 
 func forward(t *testing.T, server, client *peertls.Config, handler http.Handler, body string) (*port.Response, error) {
 	t.Helper()
--- a/internal/adapter/peerforward/server.go
+++ b/internal/adapter/peerforward/server.go
@@ -11,8 +11,8 @@
 
 // Owner runs calls that entry nodes forward to it.
 type Owner interface {
-	// ServePeer runs the call and writes the response to w. It must be the only writer.
-	ServePeer(w http.ResponseWriter, r *http.Request, call *port.Call)
+	// ServeForwarded runs the call and writes the response to w. It must be the only writer.
+	ServeForwarded(w http.ResponseWriter, r *http.Request, call *port.Call)
 }
 
 // Handler handles calls from authenticated peers.
@@ -39,5 +39,5 @@
 		callhttp.WriteError(w, port.Refuse(port.ReasonBadRequest, 0, "header %s: %v", headerMeta, err))
 		return
 	}
-	h.owner.ServePeer(w, r, call)
+	h.owner.ServeForwarded(w, r, call)
 }
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -16,7 +16,7 @@
 
 // Own implements peerforward.Owner: it runs a call that another node forwarded
 // on the local target.
-func (n *Node) ServePeer(w http.ResponseWriter, r *http.Request, call *port.Call) {
+func (n *Node) ServeForwarded(w http.ResponseWriter, r *http.Request, call *port.Call) {
 	n.running.Add(1)
 	defer n.running.Add(-1)
 	n.closeWhenStopping(w)
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -306,7 +306,7 @@
 	call := &port.Call{ID: "id", Customer: "co-operative", Service: "tally", Route: "returns", Method: "POST", StallTimeout: time.Second, Deadline: time.Now().Add(time.Second)}
 	for _, want := range []string{"", callhttp.OutcomeUnknown} {
 		recorder := httptest.NewRecorder()
-		n.ServePeer(recorder, httptest.NewRequest("POST", "/returns", nil), call)
+		n.ServeForwarded(recorder, httptest.NewRequest("POST", "/returns", nil), call)
 		assert.Equal(t, recorder.Header().Get(callhttp.HeaderOutcome), want)
 	}
 	assert.Equal(t, runs.count, 1)
@@ -349,7 +349,7 @@
 	}
 	for i, c := range cases {
 		recorder := httptest.NewRecorder()
-		n.ServePeer(recorder, httptest.NewRequest("GET", "/", nil), &port.Call{
+		n.ServeForwarded(recorder, httptest.NewRequest("GET", "/", nil), &port.Call{
 			ID: fmt.Sprint(i), Customer: c.customer, Route: c.route, Service: "tally", StallTimeout: time.Second, Entry: "vm-0",
 			Version: snapshot.Version{Epoch: 1, Revision: 3}, Deadline: time.Now().Add(time.Second),
 		})
