--- a/internal/adapter/callhttp/startby_test.go
+++ b/internal/adapter/callhttp/startby_test.go
@@ -11,8 +11,9 @@
 	"tamarackquay/standin/target"
 )
 
-// Guards against a target that starts a request which its node sent after a pause: the request
-// says until when it may begin on a clock that both share.
+// Guards against a target that starts a request after its deadline because its node was
+// paused before it sent the request. HeaderStartBy uses a clock that both processes
+// share, so the target can detect this.
 func TestTargetStartsNothingAfterItsTime(t *testing.T) {
 	for _, test := range []struct {
 		desc     string
@@ -25,7 +26,7 @@
 		t.Run(test.desc, func(t *testing.T) {
 			upstream := target.New(1, target.Mode{})
 			r := httptest.NewRequest(http.MethodGet, "/tallies/1", nil)
-			r.Header.Set(HeaderStartBy, StartBy(time.Now().Add(test.deadline)))
+			r.Header.Set(HeaderStartBy, FormatStartBy(time.Now().Add(test.deadline)))
 			w := httptest.NewRecorder()
 			upstream.Handler().ServeHTTP(w, r)
 			assert.Equal(t, w.Code, test.want)
