--- a/cmd/tamarackload/main.go
+++ b/cmd/tamarackload/main.go
@@ -22,7 +22,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	err := cli.New(cli.Wiring{Digest: target.ArchiveDigest, Experiments: experiments}).ExecuteContext(ctx)
+	err := cli.New(cli.Dependencies{Digest: target.ArchiveDigest, Experiments: experiments}).ExecuteContext(ctx)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "tamarackload:", err)
 	}
--- a/internal/experiment/admission/experiment.go
+++ b/internal/experiment/admission/experiment.go
@@ -138,14 +138,14 @@
 	}
 	for _, load := range Loads {
 		for _, placement := range Placements {
-			add(func() Result { return Placed(config, deployment, load, placement) })
+			add(func() Result { return ComparePlacement(config, deployment, load, placement) })
 		}
 	}
-	for _, placement := range []Placement{PlaceNear, PlaceRegion} {
+	for _, placement := range []Placement{PlaceNear, PlaceInRegion} {
 		add(func() Result { return OneRegion(config, deployment, placement) })
 	}
 	for _, part := range []float64{0, 0.25, 0.5, 1} {
-		add(func() Result { return Long(config, deployment, part) })
+		add(func() Result { return LongRequests(config, deployment, part) })
 	}
 	for _, load := range []float64{0.3, 0.6, 1.2} {
 		for _, inner := range []int{1, 2} {
--- a/internal/experiment/admission/experiment_test.go
+++ b/internal/experiment/admission/experiment_test.go
@@ -31,8 +31,8 @@
 			t.Run(fmt.Sprintf("%s at load %g", deployment.Name, load), func(t *testing.T) {
 				t.Parallel()
 				r := Overload(gated(8), deployment, load, PolicyShares)
-				assert.Check(t, r.LeastKept() >= 0.99, "kept %s", r.keptText())
-				assert.Check(t, r.Taken < 0.01, "taken %.4f", r.Taken)
+				assert.Check(t, r.MinFulfilled() >= 0.99, "kept %s", r.keptText())
+				assert.Check(t, r.Shortfall < 0.01, "taken %.4f", r.Shortfall)
 				assert.Equal(t, r.IdleAtTarget, 0.0)
 				assert.Check(t, r.IdleInFleet < 0.01, "idle %.4f", r.IdleInFleet)
 				assert.Check(t, r.Goodput > 0.95*min(load, 1), "goodput %.3f", r.Goodput)
@@ -47,7 +47,7 @@
 func TestBaselinesBreakContracts(t *testing.T) {
 	t.Parallel()
 	firstCome := Overload(gated(4), CoOperative, 3, PolicyFirstCome)
-	assert.Check(t, firstCome.LeastKept() < 0.5, "kept %s", firstCome.keptText())
+	assert.Check(t, firstCome.MinFulfilled() < 0.5, "kept %s", firstCome.keptText())
 	partition := Overload(gated(4), CoOperative, 0.8, PolicyFixed)
 	assert.Check(t, partition.IdleAtTarget > 0.05, "idle %.4f", partition.IdleAtTarget)
 }
@@ -64,7 +64,7 @@
 				inspectors := r.Stream("records", "inspector")
 				assert.Check(t, inspectors.WaitP99 < lookupSeconds*1e3, "p99 wait %.1f ms", inspectors.WaitP99)
 				assert.Equal(t, inspectors.Refused, 0)
-				assert.Check(t, r.LeastKept() >= 0.99, "kept %s", r.keptText())
+				assert.Check(t, r.MinFulfilled() >= 0.99, "kept %s", r.keptText())
 			})
 		}
 	}
@@ -76,14 +76,14 @@
 	t.Parallel()
 	idle := map[Placement]float64{}
 	for _, placement := range Placements {
-		idle[placement] = Placed(gated(4), CoOperative, 0.8, placement).IdleInFleet
+		idle[placement] = ComparePlacement(gated(4), CoOperative, 0.8, placement).IdleInFleet
 	}
 	assert.Check(t, idle[PlaceProbe] < 0.01)
-	for _, loser := range []Placement{PlaceRandom, PlaceTwo, PlaceCredits} {
+	for _, loser := range []Placement{PlaceRandom, PlaceTwoChoices, PlaceCredits} {
 		assert.Check(t, idle[loser] > 0.01, "%s left %.4f idle", loser, idle[loser])
 	}
-	next := Placed(gated(4), CoOperative, 1.2, PlaceNext)
-	assert.Check(t, next.LeastKept() < 0.97, "waiting nowhere kept %s", next.keptText())
+	next := ComparePlacement(gated(4), CoOperative, 1.2, PlaceTryNext)
+	assert.Check(t, next.MinFulfilled() < 0.97, "waiting nowhere kept %s", next.keptText())
 }
 
 // All of a customer's demand comes from one of three regions while another
@@ -92,9 +92,9 @@
 func TestGuaranteeOfOneRegion(t *testing.T) {
 	t.Parallel()
 	spilling := OneRegion(gated(4), CoOperative, PlaceNear)
-	assert.Check(t, spilling.Customers[0].Kept >= 0.99, "kept %s", spilling.keptText())
-	bound := OneRegion(gated(4), CoOperative, PlaceRegion)
-	assert.Check(t, bound.Customers[0].Kept > 0.32 && bound.Customers[0].Kept < 0.36, "kept %s", bound.keptText())
+	assert.Check(t, spilling.Customers[0].Fulfilled >= 0.99, "kept %s", spilling.keptText())
+	bound := OneRegion(gated(4), CoOperative, PlaceInRegion)
+	assert.Check(t, bound.Customers[0].Fulfilled > 0.32 && bound.Customers[0].Fulfilled < 0.36, "kept %s", bound.keptText())
 }
 
 // A limit holds over the whole fleet without any shared state, also when the
@@ -105,9 +105,9 @@
 	for _, cut := range []bool{false, true} {
 		r := Limit(gated(4), CoOperative, cut)
 		limited := r.Customers[0]
-		assert.Check(t, float64(limited.HeldMost) <= limited.LimitSlots)
-		assert.Check(t, float64(limited.HeldMost) > limited.LimitSlots-float64(CoOperative.Targets))
-		assert.Check(t, limited.Kept >= 0.99)
+		assert.Check(t, float64(limited.MaxHeld) <= limited.LimitSlots)
+		assert.Check(t, float64(limited.MaxHeld) > limited.LimitSlots-float64(CoOperative.Targets))
+		assert.Check(t, limited.Fulfilled >= 0.99)
 	}
 }
 
@@ -140,7 +140,7 @@
 // that archives may borrow; without it they lose most of what they were promised.
 func TestArchivesBorrowABoundedPart(t *testing.T) {
 	t.Parallel()
-	kept := func(part float64) float64 { return Long(gated(10), CoOperative, part).Customers[0].Kept }
+	kept := func(part float64) float64 { return LongRequests(gated(10), CoOperative, part).Customers[0].Fulfilled }
 	none, quarter, all := kept(0), kept(0.25), kept(1)
 	assert.Check(t, none >= 0.99, "kept %.3f with nothing lent", none)
 	assert.Check(t, quarter >= 0.5, "kept %.3f with a quarter lent", quarter)
--- a/internal/experiment/admission/measure.go
+++ b/internal/experiment/admission/measure.go
@@ -138,8 +138,8 @@
 		last := len(r.Customers) - 1
 		if last < 0 || r.Customers[last].Name != d.customer {
 			r.Customers = append(r.Customers, Customer{
-				Name: d.customer, Promised: d.share, LimitSlots: d.limit * float64(m.w.scenario.deployment.capacity()),
-				HeldMost: m.heldMost[d.customer],
+				Name: d.customer, Guaranteed: d.share, LimitSlots: d.limit * float64(m.w.scenario.deployment.capacity()),
+				MaxHeld: m.heldMost[d.customer],
 			})
 			last++
 		}
@@ -148,11 +148,11 @@
 	}
 	for i := range r.Customers {
 		c := &r.Customers[i]
-		owed := min(c.Demand, c.Promised)
-		c.Kept = 1
+		owed := min(c.Demand, c.Guaranteed)
+		c.Fulfilled = 1
 		if owed > 0 {
-			c.Kept = min(c.Received/owed, 1)
+			c.Fulfilled = min(c.Received/owed, 1)
 		}
-		r.Taken += max(0, owed-c.Received)
+		r.Shortfall += max(0, owed-c.Received)
 	}
 }
--- a/internal/experiment/admission/placement.go
+++ b/internal/experiment/admission/placement.go
@@ -13,23 +13,23 @@
 	// PlaceRandom waits at a target chosen at random.
 	PlaceRandom Placement = "owner-random"
 	// PlaceTwo waits at the less loaded of two, by what the entry has open.
-	PlaceTwo Placement = "owner-two-choices"
+	PlaceTwoChoices Placement = "owner-two-choices"
 	// PlaceCredits splits every target's slots among the entries; requests
 	// wait at their entry for one of its credits.
 	PlaceCredits Placement = "entry-credits"
 	// PlaceNext waits nowhere: refused where no slot is free, try the next.
-	PlaceNext Placement = "refuse-and-try-next"
+	PlaceTryNext Placement = "refuse-and-try-next"
 	// PlaceProbe tries two targets without waiting, then waits at a third.
 	PlaceProbe Placement = "probe-then-owner"
 	// PlaceNear probes the entry's own domain, then its region, then waits at
 	// any target.
 	PlaceNear Placement = "near-then-anywhere"
 	// PlaceRegion never leaves the entry's region.
-	PlaceRegion Placement = "region-only"
+	PlaceInRegion Placement = "region-only"
 )
 
 // Placements are those that compete for all requests.
-var Placements = []Placement{PlaceRandom, PlaceTwo, PlaceCredits, PlaceNext, PlaceProbe}
+var Placements = []Placement{PlaceRandom, PlaceTwoChoices, PlaceCredits, PlaceTryNext, PlaceProbe}
 
 const (
 	// probes is how many targets are tried without waiting.
@@ -74,13 +74,13 @@
 	switch c.placement {
 	case PlaceCredits:
 		return offer{target: call.entry}, attempt == 0
-	case PlaceNext:
+	case PlaceTryNext:
 		return c.pick(call, true, anywhere, c.two)
 	case PlaceRandom:
 		return c.pick(call, false, anywhere, c.one)
-	case PlaceTwo:
+	case PlaceTwoChoices:
 		return c.pick(call, false, anywhere, c.two)
-	case PlaceRegion:
+	case PlaceInRegion:
 		return c.pick(call, false, inRegion, c.two)
 	case PlaceNear:
 		if attempt == 0 {
--- a/internal/experiment/admission/report.go
+++ b/internal/experiment/admission/report.go
@@ -26,7 +26,7 @@
 	Goodput float64 `json:"goodput"`
 	// Taken is the part of the capacity that customers were owed and wanted
 	// and that others used or nobody did.
-	Taken float64 `json:"taken"`
+	Shortfall float64 `json:"taken"`
 	// IdleAtTarget is the part that was idle while a request waited at the
 	// same target; IdleInFleet while one waited anywhere.
 	IdleAtTarget float64        `json:"idle_at_target"`
@@ -40,13 +40,13 @@
 type Customer struct {
 	Name string `json:"name"`
 	// Promised, Demand and Received are parts of the capacity.
-	Promised float64 `json:"promised"`
-	Demand   float64 `json:"demand"`
-	Received float64 `json:"received"`
+	Guaranteed float64 `json:"promised"`
+	Demand     float64 `json:"demand"`
+	Received   float64 `json:"received"`
 	// Kept is received / min(demand, promised), at most 1.
-	Kept float64 `json:"kept"`
+	Fulfilled float64 `json:"kept"`
 	// HeldMost and LimitSlots count slots over all targets.
-	HeldMost   int     `json:"held_most"`
+	MaxHeld    int     `json:"held_most"`
 	LimitSlots float64 `json:"limit_slots"`
 }
 
@@ -64,10 +64,10 @@
 func (r *Report) add(result Result) { r.Runs = append(r.Runs, result) }
 
 // LeastKept is the smallest part of a contract that any customer received.
-func (r *Result) LeastKept() float64 {
+func (r *Result) MinFulfilled() float64 {
 	least := 1.0
 	for i := range r.Customers {
-		least = min(least, r.Customers[i].Kept)
+		least = min(least, r.Customers[i].Fulfilled)
 	}
 	return least
 }
@@ -94,7 +94,7 @@
 			fmt.Fprintf(table, "\n%s\ncase\tpolicy\tplacement\tgoodput\ttaken\tidle target\tidle fleet\tkept\twaits\trefused\n", heading)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%.3f\t%.3f\t%.4f\t%.4f\t%s\t%s\t%s\n", run.Detail, run.Policy, run.Placement,
-			run.Goodput, run.Taken, run.IdleAtTarget, run.IdleInFleet, run.keptText(), run.waitText(), run.refusedText())
+			run.Goodput, run.Shortfall, run.IdleAtTarget, run.IdleInFleet, run.keptText(), run.waitText(), run.refusedText())
 	}
 	return table.Flush()
 }
@@ -102,9 +102,9 @@
 func (r *Result) keptText() string {
 	var list []string
 	for _, c := range r.Customers {
-		text := fmt.Sprintf("%s %.3f", c.Name, c.Kept)
+		text := fmt.Sprintf("%s %.3f", c.Name, c.Fulfilled)
 		if r.Experiment == "limit" {
-			text += fmt.Sprintf(" (held %d, limit %.1f)", c.HeldMost, c.LimitSlots)
+			text += fmt.Sprintf(" (held %d, limit %.1f)", c.MaxHeld, c.LimitSlots)
 		}
 		list = append(list, text)
 	}
--- a/internal/experiment/admission/scenarios.go
+++ b/internal/experiment/admission/scenarios.go
@@ -48,7 +48,7 @@
 }
 
 // Placed compares where requests wait. Requests enter unevenly, as callers do.
-func Placed(config Config, deployment Deployment, load float64, placement Placement) Result {
+func ComparePlacement(config Config, deployment Deployment, load float64, placement Placement) Result {
 	demands := []demand{
 		{customer: "one", share: 0.6, limit: 1, load: 0.6 * load},
 		{customer: "two", share: 0.4, limit: 1, load: 0.4 * load},
@@ -96,7 +96,7 @@
 // short tallies that pause and come back at their full guarantee. Part is how
 // much of what others are guaranteed archives may borrow. Archives take
 // minutes, so this run lasts eight times as long as the others.
-func Long(config Config, deployment Deployment, part float64) Result {
+func LongRequests(config Config, deployment Deployment, part float64) Result {
 	config.Seconds *= 8
 	demands := []demand{
 		{customer: "tallies", class: "crew", share: 0.6, limit: 1, load: 0.6, pause: 15},
--- a/internal/experiment/largeanswers/largeanswers.go
+++ b/internal/experiment/largeanswers/largeanswers.go
@@ -24,9 +24,9 @@
 	Link float64
 	// Size is the mean of the answers in bytes, Hold how long the target takes for
 	// one on average, Within the time in which callers want it.
-	Size   float64
-	Hold   time.Duration
-	Within time.Duration
+	Size        float64
+	ServiceTime time.Duration
+	Timeout     time.Duration
 	// Demand is what is asked for, as a multiple of what the link carries.
 	Demand float64
 	// Arrivals is how many answers are asked for.
@@ -34,7 +34,7 @@
 }
 
 // Archives is the load of the users' largest archives: 280 KB over 22.4 Mbit/s.
-var Archives = Load{Link: 22.4e6 / 8, Size: 280e3, Hold: 210 * time.Millisecond, Within: 1200 * time.Millisecond, Demand: 1.5, Arrivals: 3000}
+var Archives = Load{Link: 22.4e6 / 8, Size: 280e3, ServiceTime: 210 * time.Millisecond, Timeout: 1200 * time.Millisecond, Demand: 1.5, Arrivals: 3000}
 
 // spread is that of the logarithm of sizes and of the target's times.
 const spread = 0.5
@@ -43,17 +43,17 @@
 // earliest moment.
 type Order struct {
 	Name string
-	Due  func(a Answer, within time.Duration) time.Time
+	Key  func(a Response, within time.Duration) time.Time
 }
 
 // The orders that are compared.
 var (
-	ReadyFirst = Order{"ready first", func(a Answer, _ time.Duration) time.Time { return a.Ready }}
-	DueFirst   = Order{"due first", func(a Answer, within time.Duration) time.Time { return a.Arrived.Add(within) }}
+	ReadyFirst    = Order{"ready first", func(a Response, _ time.Duration) time.Time { return a.Ready }}
+	DeadlineFirst = Order{"due first", func(a Response, within time.Duration) time.Time { return a.Arrived.Add(within) }}
 )
 
 // Answer is one answer that was taken.
-type Answer struct {
+type Response struct {
 	Arrived, Ready time.Time
 	Size           float64
 }
@@ -63,48 +63,48 @@
 
 // Taken returns the answers that the link's share takes, in the order in which they
 // are ready.
-func (l Load) Taken(seed uint64) []Answer {
+func (l Load) Admitted(seed uint64) []Response {
 	random := rand.New(rand.NewPCG(seed, 2))
 	logNormal := func() float64 { return math.Exp(spread*random.NormFloat64() - spread*spread/2) }
 	share := link.NewPacer(l.Link)
 	between := l.Size / share.Rate() / l.Demand * float64(time.Second)
-	var taken []Answer
+	var taken []Response
 	now := start
 	for range l.Arrivals {
 		now = now.Add(time.Duration(random.ExpFloat64() * between))
-		size, hold := l.Size*logNormal(), time.Duration(float64(l.Hold)*logNormal())
-		if _, ok := share.Admit(now, l.Size, l.Within-3*l.Hold/2); !ok {
+		size, hold := l.Size*logNormal(), time.Duration(float64(l.ServiceTime)*logNormal())
+		if _, ok := share.Admit(now, l.Size, l.Timeout-3*l.ServiceTime/2); !ok {
 			continue
 		}
 		share.CorrectSize(l.Size, size)
-		taken = append(taken, Answer{Arrived: now, Ready: now.Add(hold), Size: size})
+		taken = append(taken, Response{Arrived: now, Ready: now.Add(hold), Size: size})
 	}
-	slices.SortFunc(taken, func(a, b Answer) int { return a.Ready.Compare(b.Ready) })
+	slices.SortFunc(taken, func(a, b Response) int { return a.Ready.Compare(b.Ready) })
 	return taken
 }
 
 // InTime sends the answers in an order, one after another, and returns which part
 // of them came within the time that callers want.
-func (l Load) InTime(answers []Answer, order Order) float64 {
+func (l Load) OnTimeFraction(answers []Response, order Order) float64 {
 	var q link.TransferQueue
 	for range link.MaxConcurrent {
 		q.Start(&link.Transfer{})
 	}
 	rate := link.NewPacer(l.Link).Rate()
-	waiting := map[*link.Transfer]Answer{}
+	waiting := map[*link.Transfer]Response{}
 	now, good, next := start, 0, 0
 	for next < len(answers) || len(waiting) > 0 {
 		if len(waiting) == 0 && answers[next].Ready.After(now) {
 			now = answers[next].Ready
 		}
 		for ; next < len(answers) && !answers[next].Ready.After(now); next++ {
-			turn := &link.Transfer{Deadline: order.Due(answers[next], l.Within)}
+			turn := &link.Transfer{Deadline: order.Key(answers[next], l.Timeout)}
 			waiting[turn] = answers[next]
 			q.Start(turn)
 		}
 		turn := q.Finish()
 		now = now.Add(time.Duration(waiting[turn].Size / rate * float64(time.Second)))
-		if now.Sub(waiting[turn].Arrived) <= l.Within {
+		if now.Sub(waiting[turn].Arrived) <= l.Timeout {
 			good++
 		}
 		delete(waiting, turn)
@@ -138,9 +138,9 @@
 		}
 		load := Archives
 		load.Demand = demand
-		taken := load.Taken(options.Seed)
+		taken := load.Admitted(options.Seed)
 		fmt.Fprintf(table, "%.1f\t%.3f\t%.3f\t%.3f\n", demand, float64(len(taken))/float64(load.Arrivals),
-			load.InTime(taken, ReadyFirst), load.InTime(taken, DueFirst))
+			load.OnTimeFraction(taken, ReadyFirst), load.OnTimeFraction(taken, DeadlineFirst))
 	}
 	return table.Flush()
 }
--- a/internal/experiment/largeanswers/largeanswers_test.go
+++ b/internal/experiment/largeanswers/largeanswers_test.go
@@ -14,8 +14,8 @@
 // times for them. Of those that are taken, callers get more in time if the one
 // that is due first is sent first than if the first that is ready is.
 func TestDueFirstIsInTimeMoreOften(t *testing.T) {
-	taken := Archives.Taken(1)
-	readyFirst, dueFirst := Archives.InTime(taken, ReadyFirst), Archives.InTime(taken, DueFirst)
+	taken := Archives.Admitted(1)
+	readyFirst, dueFirst := Archives.OnTimeFraction(taken, ReadyFirst), Archives.OnTimeFraction(taken, DeadlineFirst)
 	t.Logf("in time: %.3f when the first that is ready goes first, %.3f when the one due first does", readyFirst, dueFirst)
 	assert.Assert(t, dueFirst > readyFirst)
 	assert.Assert(t, dueFirst >= 0.97, "%.3f", dueFirst)
@@ -26,7 +26,7 @@
 func TestNothingIsRefusedBelowTheLinksRate(t *testing.T) {
 	load := Archives
 	load.Demand = 0.5
-	taken := len(load.Taken(1))
+	taken := len(load.Admitted(1))
 	assert.Assert(t, float64(taken) >= 0.99*float64(load.Arrivals), "%d of %d", taken, load.Arrivals)
 }
 
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -62,7 +62,7 @@
 func (c *HTTPCaller) Do(ctx context.Context, call Call) Outcome {
 	request, check, err := c.request(ctx, call)
 	if err != nil {
-		return NoContact
+		return Unreachable
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -86,7 +86,7 @@
 func failedContact(err error) Outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return NoContact
+		return Unreachable
 	}
 	return Broken
 }
--- a/internal/load/cli/cli.go
+++ b/internal/load/cli/cli.go
@@ -19,7 +19,7 @@
 )
 
 // Wiring is what the program hands to its command line.
-type Wiring struct {
+type Dependencies struct {
 	// Digest gives the hex SHA-256 of an archive by its path and size, as the
 	// targets under load make them.
 	Digest      func(path string, size int64) string
@@ -27,7 +27,7 @@
 }
 
 // New returns the whole command line.
-func New(wiring Wiring) *cobra.Command {
+func New(wiring Dependencies) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "tamarackload",
 		Short: "Put a bounded load on entry nodes of this machine, and run experiments",
--- a/internal/load/cli/run.go
+++ b/internal/load/cli/run.go
@@ -11,7 +11,7 @@
 	"tamarackquay/internal/report"
 )
 
-func newRun(wiring Wiring) *cobra.Command {
+func newRun(wiring Dependencies) *cobra.Command {
 	var f flags
 	c := &cobra.Command{
 		Use:     "run ENTRY...",
@@ -34,7 +34,7 @@
 	return c
 }
 
-func send(ctx context.Context, wiring Wiring, config load.Config, name string) (report.Run, error) {
+func send(ctx context.Context, wiring Dependencies, config load.Config, name string) (report.Run, error) {
 	caller := load.NewHTTPCaller(config, wiring.Digest)
 	defer caller.Close()
 	run, err := load.Run(ctx, config, caller)
@@ -52,7 +52,7 @@
 // maxRounds bounds a pair.
 const maxRounds = 50
 
-func newPair(wiring Wiring) *cobra.Command {
+func newPair(wiring Dependencies) *cobra.Command {
 	var f pairFlags
 	c := &cobra.Command{
 		Use:   "pair --a ENTRY --b ENTRY",
@@ -78,7 +78,7 @@
 	return c
 }
 
-func (f *pairFlags) run(c *cobra.Command, wiring Wiring) error {
+func (f *pairFlags) run(c *cobra.Command, wiring Dependencies) error {
 	r := &report.Report{Command: commandLine(c, nil), Time: time.Now().UTC()}
 	for range f.rounds {
 		for _, side := range []struct {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -47,7 +47,7 @@
 			}
 		}
 		assert.Check(t, slow >= 80 && slow <= 100, "%d calls waited 100 ms or more", slow)
-		assert.Check(t, run.Kinds[0].Waits.Max >= 999, "%v", run.Kinds[0].Waits)
+		assert.Check(t, run.Kinds[0].Latency.Max >= 999, "%v", run.Kinds[0].Latency)
 	})
 }
 
@@ -165,5 +165,5 @@
 		})
 	}
 	caller := NewHTTPCaller(testConfig(), nil)
-	assert.Equal(t, caller.Do(t.Context(), Call{Kind: Tally, Entry: "127.0.0.1:1"}), NoContact)
+	assert.Equal(t, caller.Do(t.Context(), Call{Kind: Tally, Entry: "127.0.0.1:1"}), Unreachable)
 }
--- a/internal/load/outcome.go
+++ b/internal/load/outcome.go
@@ -16,7 +16,7 @@
 	// happen.
 	Wrong Outcome = "wrong-answer"
 	// NoContact: the entry node could not be reached, so nothing was sent.
-	NoContact Outcome = "no-contact"
+	Unreachable Outcome = "no-contact"
 	// Failed: the target answered with an error status.
 	Failed Outcome = "target-failed"
 	// NotSent: the generator had too many calls open.
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -69,13 +69,13 @@
 func (r *recorder) result() report.Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	run := report.Run{Lateness: report.WaitsOf(r.lateness)}
+	run := report.Run{Lateness: report.QuantilesOf(r.lateness)}
 	for _, kind := range Kinds {
 		of := r.kinds[kind]
 		if of == nil {
 			continue
 		}
-		line := report.Kind{Name: string(kind), Outcomes: map[string]int{}, Waits: report.WaitsOf(of.answered),
+		line := report.Kind{Name: string(kind), Outcomes: map[string]int{}, Latency: report.QuantilesOf(of.answered),
 			Curve: report.CurveOf(of.answered)}
 		for outcome, n := range of.outcomes {
 			line.Calls += n
--- a/internal/report/ratio.go
+++ b/internal/report/ratio.go
@@ -31,10 +31,10 @@
 	for _, kind := range runs[0].Kinds {
 		for _, quantile := range []struct {
 			name string
-			of   func(Waits) float64
+			of   func(Quantiles) float64
 		}{
-			{"p50", func(w Waits) float64 { return w.P50 }},
-			{"p99", func(w Waits) float64 { return w.P99 }},
+			{"p50", func(w Quantiles) float64 { return w.P50 }},
+			{"p99", func(w Quantiles) float64 { return w.P99 }},
 		} {
 			ratio := Ratio{Kind: kind.Name, Quantile: quantile.name}
 			var added []float64
@@ -55,13 +55,13 @@
 	return ratios
 }
 
-func (r *Run) waitsOf(kind string) Waits {
+func (r *Run) waitsOf(kind string) Quantiles {
 	for _, k := range r.Kinds {
 		if k.Name == kind {
-			return k.Waits
+			return k.Latency
 		}
 	}
-	return Waits{}
+	return Quantiles{}
 }
 
 func median(values []float64) float64 {
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -30,7 +30,7 @@
 	Kinds   []Kind  `json:"kinds"`
 	// Lateness is how long after their intended time calls were sent: the
 	// generator's own error.
-	Lateness Waits `json:"lateness"`
+	Lateness Quantiles `json:"lateness"`
 }
 
 // Kind is one kind of request's part in a run.
@@ -39,12 +39,12 @@
 	Calls    int            `json:"calls"`
 	Outcomes map[string]int `json:"outcomes"`
 	// Waits are of answered calls, from the intended send to the last byte.
-	Waits Waits   `json:"waits"`
-	Curve []Point `json:"curve"`
+	Latency Quantiles `json:"waits"`
+	Curve   []Point   `json:"curve"`
 }
 
 // Waits are quantiles in milliseconds.
-type Waits struct {
+type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P90   float64 `json:"p90_ms"`
@@ -71,9 +71,9 @@
 const microsPerMS = 1000
 
 // WaitsOf reads the quantiles of a histogram of microseconds.
-func WaitsOf(histogram *hdrhistogram.Histogram) Waits {
+func QuantilesOf(histogram *hdrhistogram.Histogram) Quantiles {
 	at := func(quantile float64) float64 { return float64(histogram.ValueAtQuantile(quantile)) / microsPerMS }
-	return Waits{Count: histogram.TotalCount(), P50: at(p50), P90: at(p90), P99: at(p99), P999: at(p999),
+	return Quantiles{Count: histogram.TotalCount(), P50: at(p50), P90: at(p90), P99: at(p99), P999: at(p999),
 		Max: float64(histogram.Max()) / microsPerMS}
 }
 
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -17,7 +17,7 @@
 	for i := range int64(1000) {
 		assert.NilError(t, histogram.RecordValue(1000+i))
 	}
-	kind := Kind{Name: "tally", Calls: 1000, Outcomes: map[string]int{"answered": 1000}, Waits: WaitsOf(histogram), Curve: CurveOf(histogram)}
+	kind := Kind{Name: "tally", Calls: 1000, Outcomes: map[string]int{"answered": 1000}, Latency: QuantilesOf(histogram), Curve: CurveOf(histogram)}
 	return Report{Command: `run "<&>"`, Runs: []Run{{Name: "A", Kinds: []Kind{kind}}}}
 }
 
@@ -46,7 +46,7 @@
 
 func TestRatiosTakeTheMedianOfRounds(t *testing.T) {
 	run := func(name string, p50 float64) Run {
-		return Run{Name: name, Kinds: []Kind{{Name: "tally", Waits: Waits{P50: p50}}}}
+		return Run{Name: name, Kinds: []Kind{{Name: "tally", Latency: Quantiles{P50: p50}}}}
 	}
 	ratios := Ratios([]Run{run("A", 1), run("B", 2), run("A", 2), run("B", 2), run("A", 1), run("B", 9)})
 	assert.Equal(t, len(ratios), 1)
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -23,7 +23,7 @@
 	fmt.Fprintf(w, "%s: %g calls/s for %g s, seed %d; sent late by p50 %.3f ms, p99 %.3f ms\n",
 		r.Name, r.Rate, r.Seconds, r.Seed, r.Lateness.P50, r.Lateness.P99)
 	for _, kind := range r.Kinds {
-		waits := kind.Waits
+		waits := kind.Latency
 		fmt.Fprintf(w, "  %-8s %7d calls  p50 %8.3f  p90 %8.3f  p99 %8.3f  p99.9 %8.3f  max %8.3f ms  %s\n",
 			kind.Name, kind.Calls, waits.P50, waits.P90, waits.P99, waits.P999, waits.Max, outcomesText(kind.Outcomes))
 	}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -44,10 +44,10 @@
 	ID         string `json:"id"`
 	VM         int    `json:"vm"`
 	Path       string `json:"path"`
-	Repeatable bool   `json:"repeatable"`
+	Idempotent bool   `json:"repeatable"`
 	// Crashes names the request that crashes targets, which many callers send; empty for
 	// all others.
-	Crashes string        `json:"crashes,omitempty"`
+	CrashID string        `json:"crashes,omitempty"`
 	Begin   time.Duration `json:"begin"`
 	End     time.Duration `json:"end"`
 	Outcome Outcome       `json:"outcome"`
@@ -123,11 +123,11 @@
 // next draws what is asked for.
 func (c *caller) next() Record {
 	c.sent++
-	r := Record{ID: fmt.Sprintf("%s-%d", c.name, c.sent), VM: c.member.number, Repeatable: true}
+	r := Record{ID: fmt.Sprintf("%s-%d", c.name, c.sent), VM: c.member.number, Idempotent: true}
 	switch draw := c.random.Float64(); {
 	case draw < filePart:
 		r.Path = prefixFile
-		r.Repeatable = false
+		r.Idempotent = false
 	case draw < filePart+movingPart:
 		r.Path = prefixMoving
 	case draw < filePart+movingPart+versionPart:
@@ -145,14 +145,14 @@
 
 func (c *caller) askFor(r Record) Record {
 	size := smallAnswer
-	if r.Crashes == "" && c.random.Float64() < largePart {
+	if r.CrashID == "" && c.random.Float64() < largePart {
 		size = largeAnswer
 	}
 	method, body := http.MethodGet, io.Reader(nil)
-	if !r.Repeatable {
+	if !r.Idempotent {
 		method, body = http.MethodPost, strings.NewReader("signed "+r.ID)
 	}
-	address := fmt.Sprintf("http://%s%sx%s?bytes=%d", c.connection.address, r.Path, r.Crashes, size)
+	address := fmt.Sprintf("http://%s%sx%s?bytes=%d", c.connection.address, r.Path, r.CrashID, size)
 	request, err := http.NewRequest(method, address, body)
 	if err != nil {
 		// The address is made here.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -15,26 +15,26 @@
 // The promises that are checked.
 const (
 	// OwnAnswer: each caller gets the whole answer to its own request.
-	OwnAnswer Promise = "own-answer"
+	OwnResponse Promise = "own-answer"
 	// Once: a request that may not be repeated runs at most once.
-	Once Promise = "at-most-once"
+	AtMostOnce Promise = "at-most-once"
 	// TrueRefusal: what was refused has not run and never does.
-	TrueRefusal Promise = "true-refusal"
+	RefusedNeverRuns Promise = "true-refusal"
 	// Route: a request runs only where some version sends it, marked with the
 	// service beside which it began, and an existing route is never denied.
-	Route Promise = "route"
+	CorrectRoute Promise = "route"
 	// InForce: a version is in force in time.
-	InForce Promise = "in-force"
+	AppliedInTime Promise = "in-force"
 	// Departed: a target that left gets no new work.
-	Departed Promise = "departed"
+	NoWorkAfterDrain Promise = "departed"
 	// NothingCut: planned work cuts no request.
-	NothingCut Promise = "nothing-cut"
+	NoPlannedCut Promise = "nothing-cut"
 	// Budget: the fleet sends few requests more than once.
-	Budget Promise = "budget"
+	RetryBudget Promise = "budget"
 	// StaysUp: no process of the system ends by itself.
-	StaysUp Promise = "stays-up"
+	NoUnexpectedExit Promise = "stays-up"
 	// Contained: a request under which targets crash is soon kept from further ones.
-	Contained Promise = "contained"
+	CrashContained Promise = "contained"
 	// OthersServed: no other request is refused for such crashes.
 	OthersServed Promise = "others-served"
 	// Recovered: the fleet serves again after the last fault.
@@ -43,9 +43,9 @@
 
 // Timed reports whether a promise has a bound in time, which a machine that is
 // short of processors can break by itself.
-func (p Promise) Timed() bool {
+func (p Promise) HasTimeBound() bool {
 	switch p {
-	case OwnAnswer, Once, TrueRefusal, Route, Contained, OthersServed:
+	case OwnResponse, AtMostOnce, RefusedNeverRuns, CorrectRoute, CrashContained, OthersServed:
 		return false
 	}
 	return true
@@ -86,16 +86,16 @@
 	runs := len(x.runs[r.ID])
 	var found []Finding
 	if r.Outcome == Wrong {
-		found = append(found, finding(OwnAnswer, r, "%s", r.Detail)...)
+		found = append(found, finding(OwnResponse, r, "%s", r.Detail)...)
 	}
 	if r.Outcome == Answered && runs == 0 {
-		found = append(found, finding(OwnAnswer, r, "answered, and no target ran it")...)
+		found = append(found, finding(OwnResponse, r, "answered, and no target ran it")...)
 	}
-	if !r.Repeatable && runs > 1 {
-		found = append(found, finding(Once, r, "ran %d times", runs)...)
+	if !r.Idempotent && runs > 1 {
+		found = append(found, finding(AtMostOnce, r, "ran %d times", runs)...)
 	}
 	if (r.Outcome == Refused || r.Outcome == Unsent || r.Outcome == Unrouted) && runs > 0 {
-		found = append(found, finding(TrueRefusal, r, "%s with status %d, and ran", r.Outcome, r.Status)...)
+		found = append(found, finding(RefusedNeverRuns, r, "%s with status %d, and ran", r.Outcome, r.Status)...)
 	}
 	return found
 }
@@ -105,15 +105,15 @@
 	var found []Finding
 	for _, run := range x.runs[r.ID] {
 		if run.Caller != x.Services[r.VM] {
-			found = append(found, finding(Route, r, "ran with the caller %q, which is beside %q", run.Caller, x.Services[r.VM])...)
+			found = append(found, finding(CorrectRoute, r, "ran with the caller %q, which is beside %q", run.Caller, x.Services[r.VM])...)
 		}
 		versions, _ := x.published(run.At, 0)
 		if !slices.Contains(allowed(r.Path, versions), run.Service) {
-			found = append(found, finding(Route, r, "%s ran at %s", r.Path, run.Service)...)
+			found = append(found, finding(CorrectRoute, r, "%s ran at %s", r.Path, run.Service)...)
 		}
 	}
 	if r.Outcome == Unrouted && (r.Path == prefixRead || r.Path == prefixFile || r.Path == prefixMoving) {
-		found = append(found, finding(Route, r, "no route for %s, which every version has", r.Path)...)
+		found = append(found, finding(CorrectRoute, r, "no route for %s, which every version has", r.Path)...)
 	}
 	return found
 }
@@ -151,13 +151,13 @@
 	if r.Outcome == Unrouted && strings.HasPrefix(r.Path, "/v") {
 		for v := uint64(1); v <= overdue; v++ {
 			if r.Path == prefixOfVersion(v) {
-				return finding(InForce, r, "no route for %s, which version %d has had in force", r.Path, v)
+				return finding(AppliedInTime, r, "no route for %s, which version %d has had in force", r.Path, v)
 			}
 		}
 	}
 	for _, run := range x.runs[r.ID] {
 		if r.Path == prefixMoving && !slices.Contains(allowed(r.Path, inForce), run.Service) {
-			return finding(InForce, r, "ran at %s by a version before %d", run.Service, overdue)
+			return finding(AppliedInTime, r, "ran at %s by a version before %d", run.Service, overdue)
 		}
 	}
 	return nil
@@ -181,7 +181,7 @@
 	if !arrived && r.End-r.Begin <= lossSlack {
 		return nil
 	}
-	return finding(NothingCut, r, "after %s: %s", r.End-r.Begin, r.Detail)
+	return finding(NoPlannedCut, r, "after %s: %s", r.End-r.Begin, r.Detail)
 }
 
 // bareStart is for how long after its start a process may have no handler for
@@ -195,14 +195,14 @@
 func (x *index) ends() []Finding {
 	var found []Finding
 	for _, ended := range x.Events {
-		if ended.What != NodeEnded {
+		if ended.Kind != NodeExited {
 			continue
 		}
 		bare := slices.ContainsFunc(x.Events, func(e Event) bool {
-			return e.What == ReloadNode && e.VM == ended.VM && e.Begin >= ended.Started && e.Begin < ended.Started+bareStart
+			return e.Kind == ReloadNode && e.VM == ended.VM && e.Begin >= ended.ProcessStarted && e.Begin < ended.ProcessStarted+bareStart
 		})
 		if !bare {
-			found = append(found, Finding{Promise: StaysUp, At: ended.Begin, Detail: fmt.Sprintf("the node of VM %d: %s", ended.VM, ended.Detail)})
+			found = append(found, Finding{Promise: NoUnexpectedExit, At: ended.Begin, Detail: fmt.Sprintf("the node of VM %d: %s", ended.VM, ended.Detail)})
 		}
 	}
 	return found
@@ -213,7 +213,7 @@
 func (x *index) departures() []Finding {
 	var found []Finding
 	for _, left := range x.Events {
-		if left.What != DrainTarget || left.Instance == "" {
+		if left.Kind != DrainTarget || left.Instance == "" {
 			continue
 		}
 		for _, entry := range x.Entries {
@@ -223,7 +223,7 @@
 				continue
 			}
 			if x.calm(r.VM, left.End, entry.At) && x.calm(left.VM, left.End, entry.At) {
-				found = append(found, finding(Departed, r, "%s got it %s too late", entry.Instance, late)...)
+				found = append(found, finding(NoWorkAfterDrain, r, "%s got it %s too late", entry.Instance, late)...)
 			}
 		}
 	}
@@ -245,7 +245,7 @@
 			requests := max(between(arrivals, end-budgetWindow, end), between(arrivals, end-budgetWindow*3/2, end-budgetWindow/2), between(arrivals, end-2*budgetWindow, end-budgetWindow))
 			repeats := between(again, end-budgetWindow, end)
 			if float64(repeats) > repeatRatio*float64(requests)+repeatFew {
-				found = append(found, Finding{Promise: Budget, At: end, Detail: fmt.Sprintf("%s: %d repeats of %d requests", service, repeats, requests)})
+				found = append(found, Finding{Promise: RetryBudget, At: end, Detail: fmt.Sprintf("%s: %d repeats of %d requests", service, repeats, requests)})
 			}
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -17,9 +17,9 @@
 		Services: []string{"alpha", "beta"},
 		Targets:  map[string]int{"i-1": 0, "i-2": 1},
 		Events: []Event{
-			{What: Publish, VM: all, Begin: 0, End: time.Second, Version: 1},
-			{What: Publish, VM: all, Begin: 20 * time.Second, End: 20 * time.Second, Version: 2},
-			{What: DrainTarget, VM: 1, Begin: 40 * time.Second, End: 40 * time.Second, Instance: "i-2"},
+			{Kind: Publish, VM: all, Begin: 0, End: time.Second, Version: 1},
+			{Kind: Publish, VM: all, Begin: 20 * time.Second, End: 20 * time.Second, Version: 2},
+			{Kind: DrainTarget, VM: 1, Begin: 40 * time.Second, End: 40 * time.Second, Instance: "i-2"},
 		},
 	}
 	for second := 5; second < 60; second++ {
@@ -39,7 +39,7 @@
 func (h *History) add(name, path, instance, service string, at time.Duration) {
 	id := fmt.Sprint(name, int(at.Seconds()))
 	h.Records = append(h.Records, Record{
-		ID: id, Path: path, Repeatable: path != prefixFile, Begin: at, End: at + 30*time.Millisecond, Outcome: Answered, Status: 200,
+		ID: id, Path: path, Idempotent: path != prefixFile, Begin: at, End: at + 30*time.Millisecond, Outcome: Answered, Status: 200,
 	})
 	h.Entries = append(h.Entries, usertarget.Entry{Request: id, Instance: instance, Service: service, Caller: "alpha", Path: path, Ran: true, At: at + time.Millisecond})
 }
@@ -47,9 +47,9 @@
 // addCrash records a request under which a target crashes, always the same.
 func (h *History) addCrash(at time.Duration) {
 	id, instance := fmt.Sprint("crash", at), fmt.Sprint("i-", at)
-	h.Records = append(h.Records, Record{ID: id, Path: prefixRead, Repeatable: true, Crashes: "crash-1", Begin: at, End: at, Outcome: Failed})
+	h.Records = append(h.Records, Record{ID: id, Path: prefixRead, Idempotent: true, CrashID: "crash-1", Begin: at, End: at, Outcome: Failed})
 	h.Entries = append(h.Entries, usertarget.Entry{Request: id, Instance: instance, Service: "alpha", Caller: "alpha", Path: prefixRead, Ran: true, At: at})
-	h.Events = append(h.Events, Event{What: TargetCrashed, VM: 1, Begin: at, End: at, Instance: instance})
+	h.Events = append(h.Events, Event{Kind: TargetCrashed, VM: 1, Begin: at, End: at, Instance: instance})
 }
 
 func (h *History) record(id string) *Record {
@@ -78,39 +78,39 @@
 		want  Promise
 	}{
 		{"nothing", func(*History) {}, ""},
-		{"an answer with other bytes", func(h *History) { h.record("read7").Outcome = Wrong }, OwnAnswer},
-		{"an answer that no target made", func(h *History) { h.entry("read7").Ran = false }, OwnAnswer},
-		{"a filing that ran twice", func(h *History) { h.Entries = append(h.Entries, *h.entry("file7")) }, Once},
-		{"a refusal of what ran", func(h *History) { h.record("file7").Outcome = Refused }, TrueRefusal},
-		{"a run at a service to which no version sends it", func(h *History) { h.entry("file7").Service = "alpha" }, Route},
-		{"a run with another caller's service", func(h *History) { h.entry("file7").Caller = "beta" }, Route},
+		{"an answer with other bytes", func(h *History) { h.record("read7").Outcome = Wrong }, OwnResponse},
+		{"an answer that no target made", func(h *History) { h.entry("read7").Ran = false }, OwnResponse},
+		{"a filing that ran twice", func(h *History) { h.Entries = append(h.Entries, *h.entry("file7")) }, AtMostOnce},
+		{"a refusal of what ran", func(h *History) { h.record("file7").Outcome = Refused }, RefusedNeverRuns},
+		{"a run at a service to which no version sends it", func(h *History) { h.entry("file7").Service = "alpha" }, CorrectRoute},
+		{"a run with another caller's service", func(h *History) { h.entry("file7").Caller = "beta" }, CorrectRoute},
 		{"a route that every version has is denied", func(h *History) {
 			h.record("read7").Outcome = Unrouted
 			h.entry("read7").Ran = false
-		}, Route},
-		{"a run by an old version", func(h *History) { h.add("moving", prefixMoving, "i-2", movingService(1), 30*time.Second) }, InForce},
+		}, CorrectRoute},
+		{"a run by an old version", func(h *History) { h.add("moving", prefixMoving, "i-2", movingService(1), 30*time.Second) }, AppliedInTime},
 		{"a new route is not there", func(h *History) {
 			h.Records = append(h.Records, Record{ID: "new", Path: prefixOfVersion(2), Begin: 30 * time.Second, End: 30 * time.Second, Outcome: Unrouted})
-		}, InForce},
-		{"work for a target that left", func(h *History) { h.add("late", prefixFile, "i-2", "beta", 44*time.Second) }, Departed},
+		}, AppliedInTime},
+		{"work for a target that left", func(h *History) { h.add("late", prefixFile, "i-2", "beta", 44*time.Second) }, NoWorkAfterDrain},
 		{"a request that a planned stop cut", func(h *History) {
-			h.Events = append(h.Events, Event{What: RestartNode, VM: 0, Begin: 10 * time.Second, End: 12 * time.Second})
+			h.Events = append(h.Events, Event{Kind: RestartNode, VM: 0, Begin: 10 * time.Second, End: 12 * time.Second})
 			h.record("file11").Outcome = Broken
-		}, NothingCut},
+		}, NoPlannedCut},
 		{"a process that ends by itself", func(h *History) {
-			h.Events = append(h.Events, Event{What: NodeEnded, VM: 0, Begin: 10 * time.Second, End: 11 * time.Second, Started: time.Second},
-				Event{What: ReloadNode, VM: 0, Begin: 2 * time.Second, End: 2 * time.Second})
-		}, StaysUp},
+			h.Events = append(h.Events, Event{Kind: NodeExited, VM: 0, Begin: 10 * time.Second, End: 11 * time.Second, ProcessStarted: time.Second},
+				Event{Kind: ReloadNode, VM: 0, Begin: 2 * time.Second, End: 2 * time.Second})
+		}, NoUnexpectedExit},
 		{"more repeats than the budget has", func(h *History) {
 			for range repeatFew + 20 {
 				h.Entries = append(h.Entries, *h.entry("read7"))
 			}
-		}, Budget},
+		}, RetryBudget},
 		{"a request under which targets crash goes on to others", func(h *History) {
 			for second := 10; second < 20; second++ {
 				h.addCrash(time.Duration(second) * time.Second)
 			}
-		}, Contained},
+		}, CrashContained},
 		{"a request is refused that only ran beside one", func(h *History) {
 			h.record("read7").Outcome, h.entry("read7").Ran = Refused, false
 			h.record("read7").Detail = `{"reason":"quarantined"}`
@@ -143,7 +143,7 @@
 // published, and a killed one cuts what it held.
 func TestDisturbedNodesAreExcused(t *testing.T) {
 	h := sound()
-	h.Events = append(h.Events, Event{What: FreezeNode, VM: 0, Begin: 28 * time.Second, End: 30 * time.Second}, Event{What: KillNode, VM: 0, Begin: 11 * time.Second, End: 11 * time.Second})
+	h.Events = append(h.Events, Event{Kind: FreezeNode, VM: 0, Begin: 28 * time.Second, End: 30 * time.Second}, Event{Kind: KillNode, VM: 0, Begin: 11 * time.Second, End: 11 * time.Second})
 	h.add("moving", prefixMoving, "i-2", movingService(1), 30*time.Second)
 	h.record("file11").Outcome = Broken
 	assert.Equal(t, len(Check(h)), 0)
@@ -152,17 +152,17 @@
 // A process that gets a signal before it can have a handler isn't to blame.
 func TestSignalInTheFirstMomentIsExcused(t *testing.T) {
 	h := sound()
-	h.Events = append(h.Events, Event{What: NodeEnded, VM: 0, Begin: 10 * time.Second, End: 11 * time.Second, Started: 10*time.Second - 15*time.Millisecond},
-		Event{What: ReloadNode, VM: 0, Begin: 10*time.Second - 5*time.Millisecond, End: 10 * time.Second})
+	h.Events = append(h.Events, Event{Kind: NodeExited, VM: 0, Begin: 10 * time.Second, End: 11 * time.Second, ProcessStarted: 10*time.Second - 15*time.Millisecond},
+		Event{Kind: ReloadNode, VM: 0, Begin: 10*time.Second - 5*time.Millisecond, End: 10 * time.Second})
 	assert.Equal(t, len(Check(h)), 0)
 }
 
 func TestPlansAreRepeatableAndEndCalm(t *testing.T) {
 	for seed := range uint64(50) {
-		plan := MakePlan(seed, 20*time.Second, 6)
-		assert.DeepEqual(t, plan, MakePlan(seed, 20*time.Second, 6))
+		plan := NewPlan(seed, 20*time.Second, 6)
+		assert.DeepEqual(t, plan, NewPlan(seed, 20*time.Second, 6))
 		for _, f := range plan {
-			assert.Assert(t, f.Kind == KillAll || f.At+f.For <= 20*time.Second-finalBefore, "%d: %v", seed, f)
+			assert.Assert(t, f.Kind == KillAll || f.At+f.Duration <= 20*time.Second-finalBefore, "%d: %v", seed, f)
 		}
 	}
 }
--- a/internal/soak/cli/cli.go
+++ b/internal/soak/cli/cli.go
@@ -134,7 +134,7 @@
 }
 
 func (o *runOptions) isRed(r *soak.Result) bool {
-	return slices.ContainsFunc(r.Findings, func(f soak.Finding) bool { return !o.untimed || !f.Promise.Timed() })
+	return slices.ContainsFunc(r.Findings, func(f soak.Finding) bool { return !o.untimed || !f.Promise.HasTimeBound() })
 }
 
 // playAll plays the seeds, so many at a time; the first run that can't be made
@@ -151,7 +151,7 @@
 		playing.Go(func() {
 			for seed := range seeds {
 				result, err := soak.Run(ctx, soak.Options{
-					Programs: programs, Seed: seed, Length: o.length, VMs: o.vms, Net16: o.loopback + lane, Keep: o.keep, Kinds: o.kinds(),
+					Programs: programs, Seed: seed, Duration: o.length, VMs: o.vms, SecondOctet: o.loopback + lane, KeepDir: o.keep, Kinds: o.kinds(),
 				})
 				mu.Lock()
 				if err != nil && failed == nil {
--- a/internal/soak/cli/plan.go
+++ b/internal/soak/cli/plan.go
@@ -21,8 +21,8 @@
 		Short: "Show the faults that a seed gives",
 		Args:  cobra.NoArgs,
 		Run: func(command *cobra.Command, _ []string) {
-			for _, f := range soak.MakePlan(seed, length, vms) {
-				fmt.Fprintf(command.OutOrStdout(), "%8s for %-8s %-14s vm %d %s\n", f.At.Round(time.Millisecond), f.For.Round(time.Millisecond), f.Kind, f.VM, f.Side)
+			for _, f := range soak.NewPlan(seed, length, vms) {
+				fmt.Fprintf(command.OutOrStdout(), "%8s for %-8s %-14s vm %d %s\n", f.At.Round(time.Millisecond), f.Duration.Round(time.Millisecond), f.Kind, f.VM, f.Side)
 			}
 		},
 	}
--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -26,7 +26,7 @@
 // sendCrashing lets one caller after another, at any VM, send the same request, which
 // crashes targets.
 func (f *fleet) sendCrashing(ctx context.Context, fault Fault) {
-	ctx, stop := context.WithTimeout(ctx, fault.For)
+	ctx, stop := context.WithTimeout(ctx, fault.Duration)
 	defer stop()
 	name := fmt.Sprint(usertarget.CrashMark, fault.At.Milliseconds())
 	random := rand.New(rand.NewPCG(uint64(fault.At), 3))
@@ -45,7 +45,7 @@
 	for range crashTries {
 		c.sent++
 		c.book.add(c.askFor(Record{
-			ID: fmt.Sprintf("%s-%d", c.name, c.sent), VM: c.member.number, Path: prefixRead, Repeatable: true, Crashes: name,
+			ID: fmt.Sprintf("%s-%d", c.name, c.sent), VM: c.member.number, Path: prefixRead, Idempotent: true, CrashID: name,
 		}))
 		if !wait.Sleep(ctx, crashTryPause) {
 			return
@@ -67,8 +67,8 @@
 	crashing := map[string][]usertarget.Entry{}
 	var found []Finding
 	for _, entry := range x.Entries {
-		if r := x.records[entry.Request]; r != nil && r.Crashes != "" && entry.Ran {
-			crashing[r.Crashes] = append(crashing[r.Crashes], entry)
+		if r := x.records[entry.Request]; r != nil && r.CrashID != "" && entry.Ran {
+			crashing[r.CrashID] = append(crashing[r.CrashID], entry)
 		}
 	}
 	for name, entries := range crashing {
@@ -76,7 +76,7 @@
 	}
 	for i := range x.Records {
 		r := &x.Records[i]
-		if r.Crashes == "" && r.Outcome == Refused && strings.Contains(r.Detail, quarantinedReason) {
+		if r.CrashID == "" && r.Outcome == Refused && strings.Contains(r.Detail, quarantinedReason) {
 			found = append(found, finding(OthersServed, r, "refused with status %d: %s", r.Status, r.Detail)...)
 		}
 	}
@@ -90,7 +90,7 @@
 func (x *index) furtherSends(name string, entries []usertarget.Entry) []Finding {
 	var crashes []time.Duration
 	for _, e := range x.Events {
-		if e.What == TargetCrashed && slices.ContainsFunc(entries, func(entry usertarget.Entry) bool { return entry.Instance == e.Instance }) {
+		if e.Kind == TargetCrashed && slices.ContainsFunc(entries, func(entry usertarget.Entry) bool { return entry.Instance == e.Instance }) {
 			crashes = append(crashes, e.Begin)
 		}
 	}
@@ -109,5 +109,5 @@
 	if further <= toleratedSends {
 		return nil
 	}
-	return []Finding{{Promise: Contained, Request: name, At: known, Detail: fmt.Sprintf("sent %d times more after the third crash, %d targets crashed", further, len(crashes))}}
+	return []Finding{{Promise: CrashContained, Request: name, At: known, Detail: fmt.Sprintf("sent %d times more after the third crash, %d targets crashed", further, len(crashes))}}
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -76,7 +76,7 @@
 // Event is something that was done to the fleet, at moments of the clock that all
 // processes share.
 type Event struct {
-	What Kind `json:"what"`
+	Kind Kind `json:"what"`
 	VM   int  `json:"vm"`
 	// Begin and End bound the harm; what a node does in between, or shortly after,
 	// is excused where the promises say so.
@@ -84,8 +84,8 @@
 	End   time.Duration `json:"end"`
 	Side  Side          `json:"side,omitempty"`
 	// Started is when the process that ended had been started.
-	Started time.Duration `json:"started,omitempty"`
-	Detail  string        `json:"detail,omitempty"`
+	ProcessStarted time.Duration `json:"started,omitempty"`
+	Detail         string        `json:"detail,omitempty"`
 	// Version and Instance name what was published, and which target left.
 	Version  uint64 `json:"version,omitempty"`
 	Instance string `json:"instance,omitempty"`
@@ -172,7 +172,7 @@
 	if current, _ := m.processes(); current != node || f.closing.Load() {
 		return
 	}
-	event := Event{What: NodeEnded, VM: m.number, Begin: target.SinceBoot(), Started: started, Detail: node.cmd.ProcessState.String()}
+	event := Event{Kind: NodeExited, VM: m.number, Begin: target.SinceBoot(), ProcessStarted: started, Detail: node.cmd.ProcessState.String()}
 	time.Sleep(downFor)
 	if err := f.startNode(m); err != nil {
 		event.Detail += "; " + err.Error()
@@ -211,7 +211,7 @@
 	if ended.cmd.ProcessState.ExitCode() <= 0 || f.closing.Load() {
 		return
 	}
-	f.note(Event{What: TargetCrashed, VM: m.number, Begin: at, End: at, Instance: name})
+	f.note(Event{Kind: TargetCrashed, VM: m.number, Begin: at, End: at, Instance: name})
 	m.replacing.Lock()
 	defer m.replacing.Unlock()
 	if _, current := m.processes(); current != ended {
@@ -222,7 +222,7 @@
 		return
 	}
 	if err := f.startTarget(m); err != nil {
-		f.note(Event{What: TargetCrashed, VM: m.number, Begin: at, End: target.SinceBoot(), Detail: err.Error()})
+		f.note(Event{Kind: TargetCrashed, VM: m.number, Begin: at, End: target.SinceBoot(), Detail: err.Error()})
 	}
 }
 
@@ -321,7 +321,7 @@
 	if err := f.admin(userstore.PathPut, url.Values{"key": {userfiles.ConfigKey}}, config); err != nil {
 		return err
 	}
-	f.note(Event{What: Publish, VM: all, Begin: begin, End: target.SinceBoot(), Version: version})
+	f.note(Event{Kind: Publish, VM: all, Begin: begin, End: target.SinceBoot(), Version: version})
 	return nil
 }
 
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -41,10 +41,10 @@
 // harms reports whether an event disturbs a VM. Planned work doesn't, but for the
 // VM on which a process is exchanged.
 func (e *Event) harms(vm int) bool {
-	switch e.What {
-	case Publish, Storm, ReloadNode:
+	switch e.Kind {
+	case Publish, PublishBurst, ReloadNode:
 		return false
-	case BusyStore, ForgetStore, IllService:
+	case BusyStore, CompactStore, OverloadedService:
 		return true
 	}
 	return e.VM == vm || e.VM == all
@@ -52,15 +52,15 @@
 
 // unplanned reports whether an event is a fault, and no work that operators plan.
 func (e *Event) unplanned() bool {
-	fault := Fault{Kind: e.What}
+	fault := Fault{Kind: e.Kind}
 	return !fault.planned()
 }
 
 // disturbsNode reports whether an event keeps a node itself from learning and doing
 // what it should. What becomes of its target is no excuse for that.
 func (e *Event) disturbsNode(vm int) bool {
-	switch e.What {
-	case KillTarget, DrainTarget, IllTarget, SlowTarget, IllService, CrashRequest, TargetCrashed:
+	switch e.Kind {
+	case KillTarget, DrainTarget, FailingTarget, SlowTarget, OverloadedService, CrashRequest, TargetCrashed:
 		return false
 	}
 	return e.harms(vm)
@@ -85,7 +85,7 @@
 // newest whose bound for being in force was over at another; 0 for none.
 func (h *History) published(begun, inForce time.Duration) (versions []uint64, newest uint64) {
 	for _, e := range h.Events {
-		if e.What != Publish || e.Version == 0 {
+		if e.Kind != Publish || e.Version == 0 {
 			continue
 		}
 		if e.Begin <= begun {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -60,7 +60,7 @@
 // do carries out one fault and notes it, from just before its begin to just after
 // its end.
 func (f *fleet) do(ctx context.Context, fault Fault) error {
-	event := Event{What: fault.Kind, VM: fault.VM, Begin: target.SinceBoot(), Side: fault.Side}
+	event := Event{Kind: fault.Kind, VM: fault.VM, Begin: target.SinceBoot(), Side: fault.Side}
 	err := f.carryOut(ctx, fault, &event)
 	event.End = target.SinceBoot()
 	f.note(event)
@@ -71,21 +71,21 @@
 	switch fault.Kind {
 	case Publish:
 		return f.publish()
-	case Storm:
+	case PublishBurst:
 		return f.storm(ctx)
 	case BusyStore:
-		return f.busyStore(ctx, fault.For)
-	case ForgetStore:
+		return f.busyStore(ctx, fault.Duration)
+	case CompactStore:
 		return f.admin(userstore.PathForget, nil, nil)
 	case KillAll:
-		return f.killAll(ctx, fault.For)
+		return f.killAll(ctx, fault.Duration)
 	case CrashRequest:
 		f.sendCrashing(ctx, fault)
 		return nil
 	}
 	m := f.vms[fault.VM]
 	switch fault.Kind {
-	case DelayLink, ResetLink, OneWayLink, SilentLink:
+	case DelayLink, ResetLink, OneWayLink, BlackholeLink:
 		m.harmLink(ctx, fault)
 		return nil
 	case ReloadNode:
@@ -94,7 +94,7 @@
 	case FreezeNode:
 		node, _ := m.processes()
 		node.signal(syscall.SIGSTOP)
-		wait.Sleep(ctx, fault.For)
+		wait.Sleep(ctx, fault.Duration)
 		node.signal(syscall.SIGCONT)
 		return nil
 	case KillNode, RestartNode:
@@ -102,8 +102,8 @@
 	case KillTarget, DrainTarget:
 		return f.replaceTarget(ctx, m, fault, event)
 	}
-	if fault.Kind == IllService {
-		return f.illService(ctx, m.service, fault.For)
+	if fault.Kind == OverloadedService {
+		return f.illService(ctx, m.service, fault.Duration)
 	}
 	return f.illTarget(ctx, m, fault)
 }
@@ -190,7 +190,7 @@
 			return err
 		}
 		// The promise counts from the store's word, which came before this.
-		f.note(Event{What: DrainTarget, VM: m.number, Begin: event.Begin, End: target.SinceBoot(), Instance: m.instance})
+		f.note(Event{Kind: DrainTarget, VM: m.number, Begin: event.Begin, End: target.SinceBoot(), Instance: m.instance})
 		select {
 		case <-running.done:
 		case <-time.After(drainBound + grace):
@@ -198,7 +198,7 @@
 	}
 	running.end()
 	if fault.Kind == KillTarget {
-		wait.Sleep(ctx, fault.For)
+		wait.Sleep(ctx, fault.Duration)
 	}
 	return f.startTarget(m)
 }
@@ -218,7 +218,7 @@
 	if err := m.setMode(f.client, mode); err != nil {
 		return err
 	}
-	wait.Sleep(ctx, fault.For)
+	wait.Sleep(ctx, fault.Duration)
 	return m.setMode(f.client, usertarget.Mode{})
 }
 
@@ -252,15 +252,15 @@
 	relay := m.relays[fault.Side]
 	switch fault.Kind {
 	case DelayLink:
-		relay.SetHarm(Harm{Delay: linkDelay})
+		relay.SetFault(LinkFault{Delay: linkDelay})
 	case ResetLink:
-		relay.SetHarm(Harm{Refuse: true})
+		relay.SetFault(LinkFault{ResetNew: true})
 		relay.Reset()
 	case OneWayLink:
-		relay.SetHarm(Harm{HoldBack: true})
-	case SilentLink:
-		relay.SetHarm(Harm{HoldForward: true, HoldBack: true})
+		relay.SetFault(LinkFault{HoldBack: true})
+	case BlackholeLink:
+		relay.SetFault(LinkFault{HoldForward: true, HoldBack: true})
 	}
-	wait.Sleep(ctx, fault.For)
-	relay.SetHarm(Harm{})
+	wait.Sleep(ctx, fault.Duration)
+	relay.SetFault(LinkFault{})
 }
--- a/internal/soak/keep.go
+++ b/internal/soak/keep.go
@@ -10,7 +10,7 @@
 // keep writes the history of a run and the logs of its nodes, so that a finding
 // that shows once can be traced.
 func (f *fleet) keep(o Options, h *History) error {
-	if o.Keep == "" {
+	if o.KeepDir == "" {
 		return nil
 	}
 	if err := f.keepLogs(o); err != nil {
@@ -24,10 +24,10 @@
 }
 
 // folder is where what is kept of a run goes.
-func (o *Options) folder() string { return filepath.Join(o.Keep, fmt.Sprintf("seed-%d", o.Seed)) }
+func (o *Options) folder() string { return filepath.Join(o.KeepDir, fmt.Sprintf("seed-%d", o.Seed)) }
 
 func (f *fleet) keepLogs(o Options) error {
-	if o.Keep == "" {
+	if o.KeepDir == "" {
 		return nil
 	}
 	if err := os.MkdirAll(o.folder(), 0o755); err != nil {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -29,25 +29,25 @@
 	// start at its address.
 	DrainTarget Kind = "drain-target"
 	// IllTarget makes a target lose, cut, shed or fail a part of its requests.
-	IllTarget Kind = "ill-target"
+	FailingTarget Kind = "ill-target"
 	// IllService makes all targets of a VM's service shed nearly everything, for
 	// long enough to use up the fleet's budget of repeats.
-	IllService Kind = "ill-service"
+	OverloadedService Kind = "ill-service"
 	// SlowTarget makes a target work several times as long.
 	SlowTarget Kind = "slow-target"
 	// DelayLink, ResetLink, OneWayLink and SilentLink harm the connections on one
 	// side of a VM: each piece comes later, connections are reset, one direction
 	// or both are held back.
-	DelayLink  Kind = "delay-link"
-	ResetLink  Kind = "reset-link"
-	OneWayLink Kind = "one-way-link"
-	SilentLink Kind = "silent-link"
+	DelayLink     Kind = "delay-link"
+	ResetLink     Kind = "reset-link"
+	OneWayLink    Kind = "one-way-link"
+	BlackholeLink Kind = "silent-link"
 	// BusyStore makes the store turn everybody away, ForgetStore drops its history.
-	BusyStore   Kind = "busy-store"
-	ForgetStore Kind = "forget-store"
+	BusyStore    Kind = "busy-store"
+	CompactStore Kind = "forget-store"
 	// Publish puts a new version in force, Storm several in quick succession.
-	Publish Kind = "publish"
-	Storm   Kind = "storm"
+	Publish      Kind = "publish"
+	PublishBurst Kind = "storm"
 	// KillAll ends every node's process at the same moment.
 	KillAll Kind = "kill-all"
 	// CrashRequest lets callers at all VMs send a request, again and again, that crashes
@@ -56,7 +56,7 @@
 	// TargetCrashed is in no plan: a target ended under such a request.
 	TargetCrashed Kind = "target-crashed"
 	// NodeEnded is in no plan: a node's process ended by itself.
-	NodeEnded Kind = "node-ended"
+	NodeExited Kind = "node-ended"
 )
 
 // Side is which of a VM's connections a link fault harms.
@@ -74,9 +74,9 @@
 
 // Fault is one entry of a plan.
 type Fault struct {
-	At   time.Duration `json:"at"`
-	For  time.Duration `json:"for"`
-	Kind Kind          `json:"kind"`
+	At       time.Duration `json:"at"`
+	Duration time.Duration `json:"for"`
+	Kind     Kind          `json:"kind"`
 	// VM is the number of the VM that is harmed; -1 for all.
 	VM   int  `json:"vm"`
 	Side Side `json:"side,omitempty"`
@@ -86,7 +86,7 @@
 // request may be lost.
 func (f *Fault) planned() bool {
 	switch f.Kind {
-	case RestartNode, ReloadNode, DrainTarget, Publish, Storm:
+	case RestartNode, ReloadNode, DrainTarget, Publish, PublishBurst:
 		return true
 	}
 	return false
@@ -101,9 +101,9 @@
 	weight int
 }{
 	{KillNode, 3}, {FreezeNode, 3}, {RestartNode, 4}, {ReloadNode, 1},
-	{KillTarget, 2}, {DrainTarget, 3}, {IllTarget, 3}, {SlowTarget, 2}, {IllService, 1},
-	{DelayLink, 2}, {ResetLink, 3}, {OneWayLink, 2}, {SilentLink, 2},
-	{BusyStore, 2}, {ForgetStore, 1}, {Publish, 4}, {Storm, 1},
+	{KillTarget, 2}, {DrainTarget, 3}, {FailingTarget, 3}, {SlowTarget, 2}, {OverloadedService, 1},
+	{DelayLink, 2}, {ResetLink, 3}, {OneWayLink, 2}, {BlackholeLink, 2},
+	{BusyStore, 2}, {CompactStore, 1}, {Publish, 4}, {PublishBurst, 1},
 }
 
 // Bounds of a plan's figures.
@@ -131,17 +131,17 @@
 
 // MakePlan draws the faults of a run of a length over so many VMs. Faults overlap,
 // and one in five comes as a series on the same VM.
-func MakePlan(seed uint64, length time.Duration, vms int) []Fault {
+func NewPlan(seed uint64, length time.Duration, vms int) []Fault {
 	random := rand.New(rand.NewPCG(seed, 0))
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(random.Int64N(int64(most-least)))
 	}
 	var plan []Fault
 	for at := firstFault; at < length-calmEnd; at += between(leastPause, mostPause) {
-		fault := Fault{At: at, For: between(leastFor, mostFor), Kind: drawKind(random), VM: random.IntN(vms)}
+		fault := Fault{At: at, Duration: between(leastFor, mostFor), Kind: drawKind(random), VM: random.IntN(vms)}
 		fault.Side = sides[random.IntN(len(sides))]
-		if fault.Kind == IllService {
-			fault.For = illServiceFor
+		if fault.Kind == OverloadedService {
+			fault.Duration = illServiceFor
 		}
 		plan = append(plan, fault)
 		if random.Float64() >= seriesPart {
@@ -152,9 +152,9 @@
 			plan = append(plan, fault)
 		}
 	}
-	plan = slices.DeleteFunc(plan, func(f Fault) bool { return f.At+f.For > length-finalBefore })
+	plan = slices.DeleteFunc(plan, func(f Fault) bool { return f.At+f.Duration > length-finalBefore })
 	if random.Float64() < finalPart {
-		plan = append(plan, Fault{At: length - finalBefore, For: time.Second, Kind: KillAll, VM: all})
+		plan = append(plan, Fault{At: length - finalBefore, Duration: time.Second, Kind: KillAll, VM: all})
 	}
 	plan = append(plan, drawCrashRequest(seed, length)...)
 	slices.SortStableFunc(plan, func(a, b Fault) int { return int(a.At - b.At) })
@@ -170,11 +170,11 @@
 		return nil
 	}
 	at := firstFault + time.Duration(random.Int64N(int64(last-firstFault)))
-	return []Fault{{At: at, For: crashRequestFor, Kind: CrashRequest, VM: all}}
+	return []Fault{{At: at, Duration: crashRequestFor, Kind: CrashRequest, VM: all}}
 }
 
 // Only returns the faults of some kinds.
-func Only(plan []Fault, kinds []Kind) []Fault {
+func FilterKinds(plan []Fault, kinds []Kind) []Fault {
 	return slices.DeleteFunc(plan, func(f Fault) bool { return !slices.Contains(kinds, f.Kind) })
 }
 
--- a/internal/soak/relay.go
+++ b/internal/soak/relay.go
@@ -12,14 +12,14 @@
 
 // Harm is what a relay does to the connections that pass it; the zero value does
 // nothing.
-type Harm struct {
+type LinkFault struct {
 	// Delay is added to each piece, in both directions.
 	Delay time.Duration
 	// HoldForward and HoldBack keep what is sent, by the side that connects and
 	// by the other, until the harm ends.
 	HoldForward, HoldBack bool
 	// Refuse resets new connections.
-	Refuse bool
+	ResetNew bool
 }
 
 // Relay passes connections from one address to another. It is safe for concurrent
@@ -32,7 +32,7 @@
 	// refusing says that nobody listens here since nobody does on the far side; closed
 	// that the relay has ended.
 	refusing, closed bool
-	harm             Harm
+	harm             LinkFault
 	changed          chan struct{}
 	conns            map[net.Conn]struct{}
 }
@@ -64,7 +64,7 @@
 }
 
 // SetHarm changes what is done to all connections from now on.
-func (r *Relay) SetHarm(harm Harm) {
+func (r *Relay) SetFault(harm LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.harm = harm
@@ -95,7 +95,7 @@
 		if err != nil {
 			return
 		}
-		if r.current().Refuse {
+		if r.current().ResetNew {
 			reset(conn)
 			continue
 		}
@@ -103,7 +103,7 @@
 	}
 }
 
-func (r *Relay) current() Harm {
+func (r *Relay) current() LinkFault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.harm
@@ -120,8 +120,8 @@
 	r.keep(near, far)
 	defer r.drop(near, far)
 	var copying sync.WaitGroup
-	copying.Go(func() { r.copy(far, near, func(h Harm) bool { return h.HoldForward }, func() {}) })
-	copying.Go(func() { r.copy(near, far, func(h Harm) bool { return h.HoldBack }, r.lookAtFarSide) })
+	copying.Go(func() { r.copy(far, near, func(h LinkFault) bool { return h.HoldForward }, func() {}) })
+	copying.Go(func() { r.copy(near, far, func(h LinkFault) bool { return h.HoldBack }, r.lookAtFarSide) })
 	copying.Wait()
 }
 
@@ -145,7 +145,7 @@
 // copy passes one direction on. An orderly end is passed on as one; a reset as a
 // reset, so that a cut answer can't look whole.
 // Ended is called before the end is passed on.
-func (r *Relay) copy(to, from net.Conn, held func(Harm) bool, ended func()) {
+func (r *Relay) copy(to, from net.Conn, held func(LinkFault) bool, ended func()) {
 	piece := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(piece)
@@ -226,7 +226,7 @@
 	return true
 }
 
-func (r *Relay) deliver(to net.Conn, piece []byte, held func(Harm) bool) bool {
+func (r *Relay) deliver(to net.Conn, piece []byte, held func(LinkFault) bool) bool {
 	r.mu.Lock()
 	for held(r.harm) {
 		changed := r.changed
--- a/internal/soak/relay_test.go
+++ b/internal/soak/relay_test.go
@@ -49,10 +49,10 @@
 func TestRelayHarms(t *testing.T) {
 	relay, conn := echoThrough(t)
 	assert.NilError(t, say(t, conn, 5*time.Second))
-	for _, harm := range []Harm{{HoldForward: true}, {HoldBack: true}} {
-		relay.SetHarm(harm)
+	for _, harm := range []LinkFault{{HoldForward: true}, {HoldBack: true}} {
+		relay.SetFault(harm)
 		assert.Assert(t, say(t, conn, 50*time.Millisecond) != nil, "%v", harm)
-		relay.SetHarm(Harm{})
+		relay.SetFault(LinkFault{})
 		assert.NilError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
 		_, err := conn.Read(make([]byte, 1))
 		assert.NilError(t, err)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -17,15 +17,15 @@
 	Programs Programs
 	Seed     uint64
 	// Length is for how long callers send, VMs how many nodes there are.
-	Length time.Duration
-	VMs    int
+	Duration time.Duration
+	VMs      int
 	// Kinds are the faults of the plan that are carried out; all without any.
 	Kinds []Kind
 	// Net16 is the second number of the loopback addresses that the run uses.
-	Net16 int
+	SecondOctet int
 	// Keep is where the history and the logs of a run with findings go; empty for
 	// nowhere.
-	Keep string
+	KeepDir string
 }
 
 // Result is what came of one run.
@@ -46,16 +46,16 @@
 		return nil, errors.Wrap(err, "soak")
 	}
 	defer os.RemoveAll(dir)
-	f, err := newFleet(o.Programs, dir, o.Net16, o.VMs)
+	f, err := newFleet(o.Programs, dir, o.SecondOctet, o.VMs)
 	if f != nil {
 		defer f.close()
 	}
 	if err != nil {
 		return nil, errors.Wrapf(err, "seed %d", o.Seed)
 	}
-	plan := MakePlan(o.Seed, o.Length, o.VMs)
+	plan := NewPlan(o.Seed, o.Duration, o.VMs)
 	if len(o.Kinds) > 0 {
-		plan = Only(plan, o.Kinds)
+		plan = FilterKinds(plan, o.Kinds)
 	}
 	records, err := f.play(ctx, o, plan)
 	if err != nil {
@@ -78,7 +78,7 @@
 		result.Outcomes[r.Outcome]++
 	}
 	for i := range history.Events {
-		if history.Events[i].What == TargetCrashed {
+		if history.Events[i].Kind == TargetCrashed {
 			result.Crashes++
 		}
 	}
@@ -91,7 +91,7 @@
 // play sends the load and carries out the plan beside it.
 func (f *fleet) play(ctx context.Context, o Options, plan []Fault) ([]Record, error) {
 	b := f.book
-	loadCtx, stop := context.WithTimeout(ctx, o.Length)
+	loadCtx, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
 	var loading sync.WaitGroup
 	loading.Go(func() { f.load(loadCtx, o.Seed, b) })
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -200,7 +200,7 @@
 var shown = regexp.MustCompile("(?m)(?:^\\s*(?:\\$ )?(?:bin/)?|`)(tamarackctl|tamarackload) ([^`\\n]*)")
 
 func TestCommandsInPagesExist(t *testing.T) {
-	roots := map[string]*cobra.Command{"tamarackctl": root.New(), "tamarackload": cli.New(cli.Wiring{})}
+	roots := map[string]*cobra.Command{"tamarackctl": root.New(), "tamarackload": cli.New(cli.Dependencies{})}
 	for _, tree := range roots {
 		tree.InitDefaultHelpFlag()
 		tree.InitDefaultCompletionCmd()
@@ -243,7 +243,7 @@
 func TestEveryCommandIsShown(t *testing.T) {
 	var all strings.Builder
 	pages(t, func(_, text string) { all.WriteString(text) })
-	for _, tree := range []*cobra.Command{root.New(), cli.New(cli.Wiring{})} {
+	for _, tree := range []*cobra.Command{root.New(), cli.New(cli.Dependencies{})} {
 		for _, command := range tree.Commands() {
 			assert.Check(t, strings.Contains(all.String(), command.CommandPath()), "no page shows %s", command.CommandPath())
 			assert.Check(t, command.Example != "", "%s has no example", command.CommandPath())
--- a/test/process/load_test.go
+++ b/test/process/load_test.go
@@ -69,7 +69,7 @@
 // caller can file it again elsewhere.
 func checkNothingCut(t *testing.T, outcomes map[string]int) {
 	t.Helper()
-	for _, cut := range []load.Outcome{load.Broken, load.Unknown, load.Failed, load.NoContact, load.NotSent} {
+	for _, cut := range []load.Outcome{load.Broken, load.Unknown, load.Failed, load.Unreachable, load.NotSent} {
 		assert.Check(t, outcomes[string(cut)] == 0, "a planned stop left %v", outcomes)
 	}
 }
@@ -117,7 +117,7 @@
 		switch {
 		case outcome == load.Answered:
 			assert.Check(f.t, times == 1, "filing %d was answered and ran %d times", number, times)
-		case strings.HasPrefix(string(outcome), string(load.Refused(""))), outcome == load.NoContact:
+		case strings.HasPrefix(string(outcome), string(load.Refused(""))), outcome == load.Unreachable:
 			assert.Check(f.t, times == 0, "filing %d was told %s and ran %d times", number, outcome, times)
 		default:
 			assert.Check(f.t, times <= 1, "filing %d was told %s and ran %d times", number, outcome, times)
--- a/test/process/request_cost_test.go
+++ b/test/process/request_cost_test.go
@@ -68,7 +68,7 @@
 func TestMeasureAddedLatency(t *testing.T) {
 	f, ways := newRequestRig(t)
 	for _, rate := range []float64{270, 2000} {
-		total := map[string][]report.Waits{}
+		total := map[string][]report.Quantiles{}
 		cpu := map[string][2]time.Duration{}
 		for range pairedTurns {
 			for _, w := range ways {
@@ -82,9 +82,9 @@
 		calls := float64(pairedTurns) * rate * (pairedSeconds + 1)
 		for _, w := range ways {
 			t.Logf("%5.0f/s %-6s p50 %.3f p99 %.3f p99.9 %.3f ms (median of %d turns); CPU a call %.0f + %.0f us", rate, w.name,
-				median(total[w.name], func(w report.Waits) float64 { return w.P50 }),
-				median(total[w.name], func(w report.Waits) float64 { return w.P99 }),
-				median(total[w.name], func(w report.Waits) float64 { return w.P999 }), pairedTurns,
+				median(total[w.name], func(w report.Quantiles) float64 { return w.P50 }),
+				median(total[w.name], func(w report.Quantiles) float64 { return w.P99 }),
+				median(total[w.name], func(w report.Quantiles) float64 { return w.P999 }), pairedTurns,
 				float64(cpu[w.name][0].Microseconds())/calls, float64(cpu[w.name][1].Microseconds())/calls)
 		}
 	}
@@ -100,7 +100,7 @@
 	return taken
 }
 
-func (f *fleet) paired(t *testing.T, w way, rate float64) report.Waits {
+func (f *fleet) paired(t *testing.T, w way, rate float64) report.Quantiles {
 	t.Helper()
 	config := load.Config{
 		Entries: []string{w.address}, Token: testToken, Rate: rate, WarmUp: time.Second, Duration: pairedSeconds * time.Second,
@@ -110,10 +110,10 @@
 	defer caller.Close()
 	run, err := load.Run(context.Background(), config, caller)
 	assert.NilError(t, err)
-	return run.Kinds[0].Waits
+	return run.Kinds[0].Latency
 }
 
-func median(turns []report.Waits, of func(report.Waits) float64) float64 {
+func median(turns []report.Quantiles, of func(report.Quantiles) float64) float64 {
 	values := make([]float64, 0, len(turns))
 	for _, w := range turns {
 		values = append(values, of(w))
