--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -17,36 +17,37 @@
 	"tamarackquay/standin/usertarget"
 )
 
-// Outcome is what a caller was told of one request.
+// Outcome is the result of one request as its caller observed it.
 type Outcome string
 
 // The outcomes.
 const (
-	// Answered is a whole answer that is the request's own.
+	// Answered is a complete response that belongs to the request.
 	Answered Outcome = "answered"
-	// Refused promises that nothing ran.
+	// Refused is a response that guarantees that the request did not run.
 	Refused Outcome = "refused"
-	// Unrouted says that there is no such route.
+	// Unrouted is a response that no route exists for the path.
 	Unrouted Outcome = "unrouted"
-	// Failed is an answer that promises nothing.
+	// Failed is an error response that does not say whether the request ran.
 	Failed Outcome = "failed"
-	// Broken is a connection that ended, or went silent, after the request was sent.
+	// Broken is a connection that closed or timed out after the request was sent.
 	Broken Outcome = "broken"
-	// Unsent is a request for which no connection could be made.
+	// Unsent is a request for which no connection could be opened.
 	Unsent Outcome = "unsent"
-	// Wrong is an answer that is not the request's own, or is silently short.
+	// Wrong is a response that belongs to another request, or is truncated without
+	// an error.
 	Wrong Outcome = "wrong"
 )
 
-// Record is one request as its caller saw it. The times are of the clock that all
-// processes share.
+// Record is one request as its caller observed it. Times are read from the boot
+// clock, which all processes share.
 type Record struct {
 	ID         string `json:"id"`
 	VM         int    `json:"vm"`
 	Path       string `json:"path"`
 	Idempotent bool   `json:"repeatable"`
-	// Crashes names the request that crashes targets, which many callers send; empty for
-	// all others.
+	// CrashID identifies a crashing request, which several callers send. It is empty
+	// for all other requests.
 	CrashID string        `json:"crashes,omitempty"`
 	Begin   time.Duration `json:"begin"`
 	End     time.Duration `json:"end"`
@@ -55,42 +56,43 @@
 	Detail  string        `json:"detail,omitempty"`
 }
 
-// Figures of the load: some twenty requests a second from each caller, which is
-// far below what the targets can do.
+// Load parameters. Each caller sends about twenty requests a second, which is far
+// below the capacity of the targets.
 const (
-	callersPerVM   = 4
-	callerPause    = 40 * time.Millisecond
-	callerPatience = 3 * time.Second
-	// reconnectPart is the part of requests for which a new connection is opened.
-	reconnectPart = 0.05
-	smallAnswer   = 300
-	largeAnswer   = 200_000
-	largePart     = 0.1
-	// What is asked for: filings, the moving route, the routes that only some
-	// versions have, and lookups for the rest.
-	filePart, movingPart, versionPart = 0.35, 0.25, 0.15
-	// recentVersions is how many of the newest versions' own routes are asked for.
+	callersPerVM  = 4
+	callerPause   = 40 * time.Millisecond
+	callerTimeout = 3 * time.Second
+	// reconnectFraction is the fraction of requests sent on a new connection.
+	reconnectFraction = 0.05
+	smallResponse     = 300
+	largeResponse     = 200_000
+	largeFraction     = 0.1
+	// Fractions of requests to the non-idempotent route, to the moving route, and to
+	// routes that exist only in some versions. All other requests are idempotent
+	// reads.
+	fileFraction, movingFraction, versionFraction = 0.35, 0.25, 0.15
+	// recentVersions is the number of newest versions whose own routes are requested.
 	recentVersions = 3
 )
 
-// book collects what callers were told. It is safe for concurrent use.
-type book struct {
+// recorder collects the records of all callers. It is safe for concurrent use.
+type recorder struct {
 	mu      sync.Mutex
 	records []Record
 }
 
-func (b *book) add(r Record) {
+func (b *recorder) add(r Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.records = append(b.records, r)
 }
 
-// load lets the callers of all VMs send requests until ctx ends.
-func (f *fleet) load(ctx context.Context, seed uint64, b *book) {
+// runCallers sends requests from the callers of all VMs until ctx ends.
+func (f *fleet) runCallers(ctx context.Context, seed uint64, rec *recorder) {
 	var running sync.WaitGroup
 	for _, m := range f.vms {
 		for number := range callersPerVM {
-			c := &caller{fleet: f, member: m, name: fmt.Sprintf("%d-%d", m.number, number), book: b}
+			c := &caller{fleet: f, machine: m, name: fmt.Sprintf("%d-%d", m.number, number), recorder: rec}
 			c.random = rand.New(rand.NewPCG(seed, uint64(m.number*callersPerVM+number)))
 			running.Go(func() { c.run(ctx) })
 		}
@@ -99,38 +101,38 @@
 }
 
 type caller struct {
-	fleet  *fleet
-	member *member
-	name   string
-	book   *book
-	random *rand.Rand
-	sent   int
+	fleet    *fleet
+	machine  *machine
+	name     string
+	recorder *recorder
+	random   *rand.Rand
+	sent     int
 
 	connection connection
 }
 
 func (c *caller) run(ctx context.Context) {
-	c.connection.address = at(c.member.public, portCallers)
+	c.connection.address = hostPort(c.machine.public, portCallers)
 	defer c.connection.close()
 	for wait.Sleep(ctx, time.Duration((0.5+c.random.Float64())*float64(callerPause))) {
-		if c.random.Float64() < reconnectPart {
+		if c.random.Float64() < reconnectFraction {
 			c.connection.close()
 		}
-		c.book.add(c.ask())
+		c.recorder.add(c.sendNext())
 	}
 }
 
-// next draws what is asked for.
+// next draws the caller's next request.
 func (c *caller) next() Record {
 	c.sent++
-	r := Record{ID: fmt.Sprintf("%s-%d", c.name, c.sent), VM: c.member.number, Idempotent: true}
+	r := Record{ID: fmt.Sprintf("%s-%d", c.name, c.sent), VM: c.machine.number, Idempotent: true}
 	switch draw := c.random.Float64(); {
-	case draw < filePart:
+	case draw < fileFraction:
 		r.Path = prefixFile
 		r.Idempotent = false
-	case draw < filePart+movingPart:
+	case draw < fileFraction+movingFraction:
 		r.Path = prefixMoving
-	case draw < filePart+movingPart+versionPart:
+	case draw < fileFraction+movingFraction+versionFraction:
 		c.fleet.mu.Lock()
 		newest := c.fleet.version
 		c.fleet.mu.Unlock()
@@ -141,12 +143,12 @@
 	return r
 }
 
-func (c *caller) ask() Record { return c.askFor(c.next()) }
+func (c *caller) sendNext() Record { return c.sendRequest(c.next()) }
 
-func (c *caller) askFor(r Record) Record {
-	size := smallAnswer
-	if r.CrashID == "" && c.random.Float64() < largePart {
-		size = largeAnswer
+func (c *caller) sendRequest(r Record) Record {
+	size := smallResponse
+	if r.CrashID == "" && c.random.Float64() < largeFraction {
+		size = largeResponse
 	}
 	method, body := http.MethodGet, io.Reader(nil)
 	if !r.Idempotent {
@@ -155,12 +157,12 @@
 	address := fmt.Sprintf("http://%s%sx%s?bytes=%d", c.connection.address, r.Path, r.CrashID, size)
 	request, err := http.NewRequest(method, address, body)
 	if err != nil {
-		// The address is made here.
+		// The address is built above and always valid.
 		panic(err)
 	}
 	request.Host = userfiles.Host
 	request.Header.Set(usertarget.HeaderRequestID, r.ID)
-	request.Header.Set(usertarget.HeaderDeadline, fmt.Sprint(callerPatience.Milliseconds()))
+	request.Header.Set(usertarget.HeaderDeadline, fmt.Sprint(callerTimeout.Milliseconds()))
 	r.Begin = target.SinceBoot()
 	r.Outcome, r.Status, r.Detail = c.send(request, r.ID, size)
 	r.End = target.SinceBoot()
@@ -171,15 +173,16 @@
 	if err := c.connection.open(); err != nil {
 		return Unsent, 0, err.Error()
 	}
-	response, content, err := c.connection.send(request, callerPatience)
+	response, content, err := c.connection.send(request, callerTimeout)
 	if err != nil {
 		return Broken, 0, err.Error()
 	}
-	return judge(response, id, content, size)
+	return classify(response, id, content, size)
 }
 
-// judge compares an answer with what only this request's answer can hold.
-func judge(response *http.Response, id string, content []byte, size int) (Outcome, int, string) {
+// classify returns the outcome of a response. The expected body and signature are
+// derived from the request ID, so a response to another request does not match.
+func classify(response *http.Response, id string, content []byte, size int) (Outcome, int, string) {
 	detail := fmt.Sprintf("status %d, %d bytes", response.StatusCode, len(content))
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -192,8 +195,8 @@
 	}
 	proof := response.Header.Get(usertarget.HeaderProof)
 	instance, _, _ := strings.Cut(proof, ".")
-	whole := bytes.Equal(content, usertarget.Body(id, size))
-	if !whole || proof != usertarget.Proof(instance, id) {
+	complete := bytes.Equal(content, usertarget.Body(id, size))
+	if !complete || proof != usertarget.Proof(instance, id) {
 		return Wrong, response.StatusCode, detail
 	}
 	return Answered, response.StatusCode, ""
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -9,40 +9,44 @@
 	"tamarackquay/standin/usertarget"
 )
 
-// Promise names one of the product's promises.
+// Promise is one of the product's guarantees.
 type Promise string
 
-// The promises that are checked.
+// The checked promises.
 const (
-	// OwnAnswer: each caller gets the whole answer to its own request.
+	// OwnResponse requires that each caller gets the complete response to its own
+	// request.
 	OwnResponse Promise = "own-answer"
-	// Once: a request that may not be repeated runs at most once.
+	// AtMostOnce requires that a non-idempotent request runs at most once.
 	AtMostOnce Promise = "at-most-once"
-	// TrueRefusal: what was refused has not run and never does.
+	// RefusedNeverRuns requires that a refused request has not run and never will.
 	RefusedNeverRuns Promise = "true-refusal"
-	// Route: a request runs only where some version sends it, marked with the
-	// service beside which it began, and an existing route is never denied.
+	// CorrectRoute requires that a request runs only at a service to which some
+	// version routes it, that it carries the service of the VM it was sent from as
+	// its caller, and that a route of every version is never reported missing.
 	CorrectRoute Promise = "route"
-	// InForce: a version is in force in time.
+	// AppliedInTime requires that nodes apply a published version in time.
 	AppliedInTime Promise = "in-force"
-	// Departed: a target that left gets no new work.
+	// NoWorkAfterDrain requires that a target that has left gets no new requests.
 	NoWorkAfterDrain Promise = "departed"
-	// NothingCut: planned work cuts no request.
+	// NoPlannedCut requires that planned operations interrupt no request.
 	NoPlannedCut Promise = "nothing-cut"
-	// Budget: the fleet sends few requests more than once.
+	// RetryBudget requires that retries of the whole fleet stay within the budget.
 	RetryBudget Promise = "budget"
-	// StaysUp: no process of the system ends by itself.
+	// NoUnexpectedExit requires that no node process exits by itself.
 	NoUnexpectedExit Promise = "stays-up"
-	// Contained: a request under which targets crash is soon kept from further ones.
+	// CrashContained requires that a request that crashes targets is soon blocked
+	// from reaching other targets.
 	CrashContained Promise = "contained"
-	// OthersServed: no other request is refused for such crashes.
+	// OthersServed requires that no other request is refused because of these
+	// crashes.
 	OthersServed Promise = "others-served"
-	// Recovered: the fleet serves again after the last fault.
+	// Recovered requires that the fleet serves requests again after the last fault.
 	Recovered Promise = "recovered"
 )
 
-// Timed reports whether a promise has a bound in time, which a machine that is
-// short of processors can break by itself.
+// HasTimeBound reports whether the promise has a time bound. An overloaded test
+// machine can break such a promise without a fault in the system.
 func (p Promise) HasTimeBound() bool {
 	switch p {
 	case OwnResponse, AtMostOnce, RefusedNeverRuns, CorrectRoute, CrashContained, OthersServed:
@@ -59,67 +63,68 @@
 	Detail  string        `json:"detail"`
 }
 
-// Check compares what callers were told with what targets saw, and returns every
-// broken promise.
+// Check compares the records of callers with the ledgers of targets, and returns
+// every broken promise.
 func Check(h *History) []Finding {
 	x := h.index()
 	var found []Finding
 	for i := range h.Records {
 		r := &h.Records[i]
-		for _, check := range []func(*Record) []Finding{x.answers, x.routes, x.versions, x.cuts} {
+		for _, check := range []func(*Record) []Finding{x.checkResponse, x.checkRoute, x.checkVersion, x.checkCut} {
 			found = append(found, check(r)...)
 		}
 	}
-	found = append(found, x.ends()...)
-	found = append(found, x.departures()...)
-	found = append(found, x.repeats()...)
-	found = append(found, x.contained()...)
-	return append(found, x.recovers()...)
+	found = append(found, x.checkExits()...)
+	found = append(found, x.checkDepartures()...)
+	found = append(found, x.checkRetries()...)
+	found = append(found, x.checkContainment()...)
+	return append(found, x.checkRecovery()...)
 }
 
 func finding(p Promise, r *Record, format string, args ...any) []Finding {
 	return []Finding{{Promise: p, Request: r.ID, At: r.Begin, Detail: fmt.Sprintf(format, args...)}}
 }
 
-// answers checks what a caller was told against the runs of its request.
-func (x *index) answers(r *Record) []Finding {
+// checkResponse compares the outcome at the caller with the runs of the request at
+// targets.
+func (x *index) checkResponse(r *Record) []Finding {
 	runs := len(x.runs[r.ID])
 	var found []Finding
 	if r.Outcome == Wrong {
 		found = append(found, finding(OwnResponse, r, "%s", r.Detail)...)
 	}
 	if r.Outcome == Answered && runs == 0 {
-		found = append(found, finding(OwnResponse, r, "answered, and no target ran it")...)
+		found = append(found, finding(OwnResponse, r, "answered, but no target ran it")...)
 	}
 	if !r.Idempotent && runs > 1 {
 		found = append(found, finding(AtMostOnce, r, "ran %d times", runs)...)
 	}
 	if (r.Outcome == Refused || r.Outcome == Unsent || r.Outcome == Unrouted) && runs > 0 {
-		found = append(found, finding(RefusedNeverRuns, r, "%s with status %d, and ran", r.Outcome, r.Status)...)
+		found = append(found, finding(RefusedNeverRuns, r, "%s with status %d, but ran", r.Outcome, r.Status)...)
 	}
 	return found
 }
 
-// routes checks that a request ran only where it may.
-func (x *index) routes(r *Record) []Finding {
+// checkRoute checks that a request ran only at services to which it may be routed.
+func (x *index) checkRoute(r *Record) []Finding {
 	var found []Finding
 	for _, run := range x.runs[r.ID] {
 		if run.Caller != x.Services[r.VM] {
-			found = append(found, finding(CorrectRoute, r, "ran with the caller %q, which is beside %q", run.Caller, x.Services[r.VM])...)
+			found = append(found, finding(CorrectRoute, r, "ran with the caller service %q, sent from a VM of service %q", run.Caller, x.Services[r.VM])...)
 		}
 		versions, _ := x.published(run.At, 0)
-		if !slices.Contains(allowed(r.Path, versions), run.Service) {
+		if !slices.Contains(allowedServices(r.Path, versions), run.Service) {
 			found = append(found, finding(CorrectRoute, r, "%s ran at %s", r.Path, run.Service)...)
 		}
 	}
 	if r.Outcome == Unrouted && (r.Path == prefixRead || r.Path == prefixFile || r.Path == prefixMoving) {
-		found = append(found, finding(CorrectRoute, r, "no route for %s, which every version has", r.Path)...)
+		found = append(found, finding(CorrectRoute, r, "no route for %s, although every version has it", r.Path)...)
 	}
 	return found
 }
 
-// allowed lists the services to which any of the versions sends a path.
-func allowed(path string, versions []uint64) []string {
+// allowedServices returns the services to which any of the versions routes a path.
+func allowedServices(path string, versions []uint64) []string {
 	switch path {
 	case prefixRead:
 		return services[:1]
@@ -140,31 +145,31 @@
 	return nil
 }
 
-// versions checks that a request at a calm node was handled by a version that was
-// not overdue.
-func (x *index) versions(r *Record) []Finding {
-	if !x.calm(r.VM, r.Begin-applyBound, r.End) {
+// checkVersion checks that an undisturbed node handled the request with a version
+// that was recent enough: not older than the newest one that had to be applied.
+func (x *index) checkVersion(r *Record) []Finding {
+	if !x.nodeUndisturbed(r.VM, r.Begin-applyBound, r.End) {
 		return nil
 	}
 	versions, overdue := x.published(r.End, r.Begin)
-	inForce := slices.DeleteFunc(versions, func(v uint64) bool { return v < overdue })
+	applied := slices.DeleteFunc(versions, func(v uint64) bool { return v < overdue })
 	if r.Outcome == Unrouted && strings.HasPrefix(r.Path, "/v") {
 		for v := uint64(1); v <= overdue; v++ {
 			if r.Path == prefixOfVersion(v) {
-				return finding(AppliedInTime, r, "no route for %s, which version %d has had in force", r.Path, v)
+				return finding(AppliedInTime, r, "no route for %s, although version %d had to be applied", r.Path, v)
 			}
 		}
 	}
 	for _, run := range x.runs[r.ID] {
-		if r.Path == prefixMoving && !slices.Contains(allowed(r.Path, inForce), run.Service) {
-			return finding(AppliedInTime, r, "ran at %s by a version before %d", run.Service, overdue)
+		if r.Path == prefixMoving && !slices.Contains(allowedServices(r.Path, applied), run.Service) {
+			return finding(AppliedInTime, r, "ran at %s, routed by a version older than %d", run.Service, overdue)
 		}
 	}
 	return nil
 }
 
-// cuts checks that no request was cut by planned work alone.
-func (x *index) cuts(r *Record) []Finding {
+// checkCut checks that no request was interrupted by planned operations alone.
+func (x *index) checkCut(r *Record) []Finding {
 	if r.Outcome != Broken || !x.undisturbed(r.VM, r.Begin, r.End) {
 		return nil
 	}
@@ -178,39 +183,39 @@
 			return nil
 		}
 	}
-	if !arrived && r.End-r.Begin <= lossSlack {
+	if !arrived && r.End-r.Begin <= closeRaceWindow {
 		return nil
 	}
 	return finding(NoPlannedCut, r, "after %s: %s", r.End-r.Begin, r.Detail)
 }
 
-// bareStart is for how long after its start a process may have no handler for
-// signals yet: the time until the runtime and the first package are set up, on a
+// signalSetupTime bounds the time after its start in which a process may not yet
+// handle signals: until the runtime and the first package are initialized, on a
 // machine with several times as many busy processes as processors.
-const bareStart = 100 * time.Millisecond
+const signalSetupTime = 100 * time.Millisecond
 
-// ends checks that no process ended by itself. One that is told of new settings in
-// the first moment of its life can't help ending: no program has a handler before
-// it runs. The platform starts it again.
-func (x *index) ends() []Finding {
+// checkExits checks that no node exited by itself. A node that got SIGHUP within
+// signalSetupTime of its start is excused: the signal ends a process that has not
+// installed a handler yet. The platform starts it again.
+func (x *index) checkExits() []Finding {
 	var found []Finding
 	for _, ended := range x.Events {
 		if ended.Kind != NodeExited {
 			continue
 		}
-		bare := slices.ContainsFunc(x.Events, func(e Event) bool {
-			return e.Kind == ReloadNode && e.VM == ended.VM && e.Begin >= ended.ProcessStarted && e.Begin < ended.ProcessStarted+bareStart
+		excused := slices.ContainsFunc(x.Events, func(e Event) bool {
+			return e.Kind == ReloadNode && e.VM == ended.VM && e.Begin >= ended.ProcessStarted && e.Begin < ended.ProcessStarted+signalSetupTime
 		})
-		if !bare {
+		if !excused {
 			found = append(found, Finding{Promise: NoUnexpectedExit, At: ended.Begin, Detail: fmt.Sprintf("the node of VM %d: %s", ended.VM, ended.Detail)})
 		}
 	}
 	return found
 }
 
-// departures checks that no target that left got work later than it may, as far
-// as the entry node and its own node were left alone.
-func (x *index) departures() []Finding {
+// checkDepartures checks that no target that left got requests after the bound. It
+// skips requests whose entry node, or the target's own node, was disturbed.
+func (x *index) checkDepartures() []Finding {
 	var found []Finding
 	for _, left := range x.Events {
 		if left.Kind != DrainTarget || left.Instance == "" {
@@ -222,39 +227,40 @@
 			if !entry.Ran || entry.Instance != left.Instance || late <= 0 || r == nil {
 				continue
 			}
-			if x.calm(r.VM, left.End, entry.At) && x.calm(left.VM, left.End, entry.At) {
-				found = append(found, finding(NoWorkAfterDrain, r, "%s got it %s too late", entry.Instance, late)...)
+			if x.nodeUndisturbed(r.VM, left.End, entry.At) && x.nodeUndisturbed(left.VM, left.End, entry.At) {
+				found = append(found, finding(NoWorkAfterDrain, r, "%s got the request %s after the drain bound", entry.Instance, late)...)
 			}
 		}
 	}
 	return found
 }
 
-// budgetStep is how far apart the spans are in which repeats are counted.
+// budgetStep is the distance between the windows in which retries are counted.
 const budgetStep = 500 * time.Millisecond
 
-// repeats checks the fleet's budget of arrivals beyond the first in every span.
-func (x *index) repeats() []Finding {
+// checkRetries checks the fleet's retry budget in every window. Every arrival of a
+// request at a target after its first one counts as a retry.
+func (x *index) checkRetries() []Finding {
 	var found []Finding
 	for _, service := range services {
-		arrivals, again := x.arrivals(service)
+		arrivals, retryTimes := x.arrivalTimes(service)
 		if len(arrivals) == 0 {
 			continue
 		}
 		for end := arrivals[0]; end <= arrivals[len(arrivals)-1]+budgetStep; end += budgetStep {
-			requests := max(between(arrivals, end-budgetWindow, end), between(arrivals, end-budgetWindow*3/2, end-budgetWindow/2), between(arrivals, end-2*budgetWindow, end-budgetWindow))
-			repeats := between(again, end-budgetWindow, end)
-			if float64(repeats) > repeatRatio*float64(requests)+repeatFew {
-				found = append(found, Finding{Promise: RetryBudget, At: end, Detail: fmt.Sprintf("%s: %d repeats of %d requests", service, repeats, requests)})
+			requests := max(countBetween(arrivals, end-budgetWindow, end), countBetween(arrivals, end-budgetWindow*3/2, end-budgetWindow/2), countBetween(arrivals, end-2*budgetWindow, end-budgetWindow))
+			retries := countBetween(retryTimes, end-budgetWindow, end)
+			if float64(retries) > retryRatio*float64(requests)+retrySlack {
+				found = append(found, Finding{Promise: RetryBudget, At: end, Detail: fmt.Sprintf("%s: %d retries of %d requests", service, retries, requests)})
 			}
 		}
 	}
 	return found
 }
 
-// arrivals returns the moments of the first and of the further arrivals of all
+// arrivalTimes returns the times of the first and of the further arrivals of all
 // requests at a service.
-func (x *index) arrivals(service string) (first, again []time.Duration) {
+func (x *index) arrivalTimes(service string) (first, further []time.Duration) {
 	seen := map[string]bool{}
 	entries := slices.SortedFunc(slices.Values(x.Entries), func(a, b usertarget.Entry) int { return int(a.At - b.At) })
 	for _, entry := range entries {
@@ -262,16 +268,16 @@
 			continue
 		}
 		if seen[entry.Request] {
-			again = append(again, entry.At)
+			further = append(further, entry.At)
 			continue
 		}
 		seen[entry.Request] = true
 		first = append(first, entry.At)
 	}
-	return first, again
+	return first, further
 }
 
-func between(moments []time.Duration, from, to time.Duration) int {
+func countBetween(moments []time.Duration, from, to time.Duration) int {
 	count := 0
 	for _, at := range moments {
 		if at > from && at <= to {
@@ -281,28 +287,30 @@
 	return count
 }
 
-// recoveredPart is what a fleet without faults must serve. The few that miss are
-// requests that a target just leaving turned away.
-const recoveredPart = 0.95
+// minRecoveredFraction is the fraction of requests that the fleet must answer once
+// all faults have ended. The rest allows for requests refused by a target that is
+// just leaving.
+const minRecoveredFraction = 0.95
 
-// recovers checks that the fleet serves once the last fault is over for a while.
-func (x *index) recovers() []Finding {
+// checkRecovery checks that the fleet serves requests again from recoveryTime after
+// the last fault.
+func (x *index) checkRecovery() []Finding {
 	var last time.Duration
 	for _, e := range x.Events {
 		last = max(last, e.End)
 	}
-	asked, answered := 0, 0
+	sent, answered := 0, 0
 	for _, r := range x.Records {
-		if r.Begin < last+recovery {
+		if r.Begin < last+recoveryTime {
 			continue
 		}
-		asked++
+		sent++
 		if r.Outcome == Answered {
 			answered++
 		}
 	}
-	if float64(answered) >= recoveredPart*float64(asked) {
+	if float64(answered) >= minRecoveredFraction*float64(sent) {
 		return nil
 	}
-	return []Finding{{Promise: Recovered, At: last, Detail: fmt.Sprintf("%d of %d requests answered after the last fault", answered, asked)}}
+	return []Finding{{Promise: Recovered, At: last, Detail: fmt.Sprintf("%d of %d requests answered after the last fault", answered, sent)}}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -10,15 +10,15 @@
 	"tamarackquay/standin/usertarget"
 )
 
-// sound is a history of two VMs in which every promise was kept: version 1 is in
-// force from the start, version 2 from 20 s on, and a target leaves at 40 s.
-func sound() *History {
+// validHistory returns a history of two VMs in which every promise is kept. Version 1
+// is published at the start, version 2 at 20 s, and a target leaves at 40 s.
+func validHistory() *History {
 	h := &History{
 		Services: []string{"alpha", "beta"},
 		Targets:  map[string]int{"i-1": 0, "i-2": 1},
 		Events: []Event{
-			{Kind: Publish, VM: all, Begin: 0, End: time.Second, Version: 1},
-			{Kind: Publish, VM: all, Begin: 20 * time.Second, End: 20 * time.Second, Version: 2},
+			{Kind: Publish, VM: allVMs, Begin: 0, End: time.Second, Version: 1},
+			{Kind: Publish, VM: allVMs, Begin: 20 * time.Second, End: 20 * time.Second, Version: 2},
 			{Kind: DrainTarget, VM: 1, Begin: 40 * time.Second, End: 40 * time.Second, Instance: "i-2"},
 		},
 	}
@@ -35,7 +35,7 @@
 	return h
 }
 
-// add records a request of VM 0 that was answered after one run.
+// add adds a request of VM 0 that was answered after one run.
 func (h *History) add(name, path, instance, service string, at time.Duration) {
 	id := fmt.Sprint(name, int(at.Seconds()))
 	h.Records = append(h.Records, Record{
@@ -44,7 +44,7 @@
 	h.Entries = append(h.Entries, usertarget.Entry{Request: id, Instance: instance, Service: service, Caller: "alpha", Path: path, Ran: true, At: at + time.Millisecond})
 }
 
-// addCrash records a request under which a target crashes, always the same.
+// addCrash adds a run of the crashing request crash-1, and the crash of its target.
 func (h *History) addCrash(at time.Duration) {
 	id, instance := fmt.Sprint("crash", at), fmt.Sprint("i-", at)
 	h.Records = append(h.Records, Record{ID: id, Path: prefixRead, Idempotent: true, CrashID: "crash-1", Begin: at, End: at, Outcome: Failed})
@@ -70,52 +70,53 @@
 	panic(id)
 }
 
-// Each check finds the breach that it is for, and nothing in a sound history.
+// Guards against a check that misses the violation it is for, or that reports another
+// one. A history without violations must give no findings.
 func TestEachPromiseCanBeFoundBroken(t *testing.T) {
 	for _, test := range []struct {
-		desc  string
-		spoil func(h *History)
-		want  Promise
+		desc    string
+		corrupt func(h *History)
+		want    Promise
 	}{
 		{"nothing", func(*History) {}, ""},
-		{"an answer with other bytes", func(h *History) { h.record("read7").Outcome = Wrong }, OwnResponse},
-		{"an answer that no target made", func(h *History) { h.entry("read7").Ran = false }, OwnResponse},
-		{"a filing that ran twice", func(h *History) { h.Entries = append(h.Entries, *h.entry("file7")) }, AtMostOnce},
-		{"a refusal of what ran", func(h *History) { h.record("file7").Outcome = Refused }, RefusedNeverRuns},
-		{"a run at a service to which no version sends it", func(h *History) { h.entry("file7").Service = "alpha" }, CorrectRoute},
-		{"a run with another caller's service", func(h *History) { h.entry("file7").Caller = "beta" }, CorrectRoute},
-		{"a route that every version has is denied", func(h *History) {
+		{"response with other bytes", func(h *History) { h.record("read7").Outcome = Wrong }, OwnResponse},
+		{"answered although no target ran it", func(h *History) { h.entry("read7").Ran = false }, OwnResponse},
+		{"non-idempotent request that ran twice", func(h *History) { h.Entries = append(h.Entries, *h.entry("file7")) }, AtMostOnce},
+		{"refused request that ran", func(h *History) { h.record("file7").Outcome = Refused }, RefusedNeverRuns},
+		{"run at a service to which no version routes it", func(h *History) { h.entry("file7").Service = "alpha" }, CorrectRoute},
+		{"run with the wrong caller service", func(h *History) { h.entry("file7").Caller = "beta" }, CorrectRoute},
+		{"missing route that every version has", func(h *History) {
 			h.record("read7").Outcome = Unrouted
 			h.entry("read7").Ran = false
 		}, CorrectRoute},
-		{"a run by an old version", func(h *History) { h.add("moving", prefixMoving, "i-2", movingService(1), 30*time.Second) }, AppliedInTime},
-		{"a new route is not there", func(h *History) {
+		{"run routed by an outdated version", func(h *History) { h.add("moving", prefixMoving, "i-2", movingService(1), 30*time.Second) }, AppliedInTime},
+		{"missing route of a new version", func(h *History) {
 			h.Records = append(h.Records, Record{ID: "new", Path: prefixOfVersion(2), Begin: 30 * time.Second, End: 30 * time.Second, Outcome: Unrouted})
 		}, AppliedInTime},
-		{"work for a target that left", func(h *History) { h.add("late", prefixFile, "i-2", "beta", 44*time.Second) }, NoWorkAfterDrain},
-		{"a request that a planned stop cut", func(h *History) {
+		{"request to a target that left", func(h *History) { h.add("late", prefixFile, "i-2", "beta", 44*time.Second) }, NoWorkAfterDrain},
+		{"request interrupted by a planned stop", func(h *History) {
 			h.Events = append(h.Events, Event{Kind: RestartNode, VM: 0, Begin: 10 * time.Second, End: 12 * time.Second})
 			h.record("file11").Outcome = Broken
 		}, NoPlannedCut},
-		{"a process that ends by itself", func(h *History) {
+		{"process that exits by itself", func(h *History) {
 			h.Events = append(h.Events, Event{Kind: NodeExited, VM: 0, Begin: 10 * time.Second, End: 11 * time.Second, ProcessStarted: time.Second},
 				Event{Kind: ReloadNode, VM: 0, Begin: 2 * time.Second, End: 2 * time.Second})
 		}, NoUnexpectedExit},
-		{"more repeats than the budget has", func(h *History) {
-			for range repeatFew + 20 {
+		{"more retries than the budget allows", func(h *History) {
+			for range retrySlack + 20 {
 				h.Entries = append(h.Entries, *h.entry("read7"))
 			}
 		}, RetryBudget},
-		{"a request under which targets crash goes on to others", func(h *History) {
+		{"crashing request that keeps reaching targets", func(h *History) {
 			for second := 10; second < 20; second++ {
 				h.addCrash(time.Duration(second) * time.Second)
 			}
 		}, CrashContained},
-		{"a request is refused that only ran beside one", func(h *History) {
+		{"refused request that only ran at the time of a crash", func(h *History) {
 			h.record("read7").Outcome, h.entry("read7").Ran = Refused, false
 			h.record("read7").Detail = `{"reason":"quarantined"}`
 		}, OthersServed},
-		{"no service after the last fault", func(h *History) {
+		{"no recovery after the last fault", func(h *History) {
 			for i := range h.Records {
 				if r := &h.Records[i]; r.Begin > 50*time.Second {
 					r.Outcome = Failed
@@ -124,8 +125,8 @@
 		}, Recovered},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			h := sound()
-			test.spoil(h)
+			h := validHistory()
+			test.corrupt(h)
 			found := map[Promise]bool{}
 			for _, f := range Check(h) {
 				found[f.Promise] = true
@@ -139,19 +140,20 @@
 	}
 }
 
-// A bound is no promise while a VM is disturbed: a frozen node can't know what was
-// published, and a killed one cuts what it held.
+// Guards against findings on disturbed VMs, for which the bounds don't hold: a frozen
+// node can't apply a published version, and a killed one interrupts its requests.
 func TestDisturbedNodesAreExcused(t *testing.T) {
-	h := sound()
+	h := validHistory()
 	h.Events = append(h.Events, Event{Kind: FreezeNode, VM: 0, Begin: 28 * time.Second, End: 30 * time.Second}, Event{Kind: KillNode, VM: 0, Begin: 11 * time.Second, End: 11 * time.Second})
 	h.add("moving", prefixMoving, "i-2", movingService(1), 30*time.Second)
 	h.record("file11").Outcome = Broken
 	assert.Equal(t, len(Check(h)), 0)
 }
 
-// A process that gets a signal before it can have a handler isn't to blame.
+// Guards against a finding for a process that a signal ended before it could install
+// a handler.
 func TestSignalInTheFirstMomentIsExcused(t *testing.T) {
-	h := sound()
+	h := validHistory()
 	h.Events = append(h.Events, Event{Kind: NodeExited, VM: 0, Begin: 10 * time.Second, End: 11 * time.Second, ProcessStarted: 10*time.Second - 15*time.Millisecond},
 		Event{Kind: ReloadNode, VM: 0, Begin: 10*time.Second - 5*time.Millisecond, End: 10 * time.Second})
 	assert.Equal(t, len(Check(h)), 0)
@@ -162,15 +164,15 @@
 		plan := NewPlan(seed, 20*time.Second, 6)
 		assert.DeepEqual(t, plan, NewPlan(seed, 20*time.Second, 6))
 		for _, f := range plan {
-			assert.Assert(t, f.Kind == KillAll || f.At+f.Duration <= 20*time.Second-finalBefore, "%d: %v", seed, f)
+			assert.Assert(t, f.Kind == KillAll || f.At+f.Duration <= 20*time.Second-killAllLead, "%d: %v", seed, f)
 		}
 	}
 }
 
-// Until a stability window after the third crash, and three times after that, a request
-// may reach targets under which they crash.
+// Guards against a finding for tolerated crashes: a crashing request may reach targets
+// until a stability window after the third crash, and three more times after that.
 func TestFirstCrashesAreTolerated(t *testing.T) {
-	h := sound()
+	h := validHistory()
 	for _, at := range []time.Duration{10, 11, 12, 13, 14, 16, 17, 18} {
 		h.addCrash(at * time.Second)
 	}
--- a/internal/soak/cli/cli.go
+++ b/internal/soak/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of tamaracksoak.
+// Package cli implements the command line of tamaracksoak.
 package cli
 
 import (
@@ -18,7 +18,7 @@
 	"tamarackquay/internal/soak"
 )
 
-// NewCommand returns the root command.
+// NewCommand returns the root command of tamaracksoak.
 func NewCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "tamaracksoak",
@@ -30,14 +30,14 @@
 	return root
 }
 
-// Bounds of what one invocation may do to the machine.
+// Limits of one invocation, which protect the machine.
 const (
-	mostParallel = 8
-	mostVMs      = 40
-	leastLength  = 10 * time.Second
+	maxParallel = 8
+	maxVMs      = 40
+	minDuration = 10 * time.Second
 )
 
-// errFindings is the error of runs in which a promise was broken.
+// errFindings is returned when a run broke a promise.
 var errFindings = errors.New("promises were broken")
 
 type runOptions struct {
@@ -45,7 +45,7 @@
 	seed     uint64
 	seeds    int
 	parallel int
-	length   time.Duration
+	duration time.Duration
 	vms      int
 	keep     string
 	output   string
@@ -58,37 +58,37 @@
 	var o runOptions
 	command := &cobra.Command{
 		Use:   "run",
-		Short: "Play seeds and check the promises",
-		Long: "Play seeds, each with a fleet of its own, and check the promises. A seed gives the plan of faults and what\n" +
-			"callers ask for; the machine's own timing is not repeated. Exit code 1 when a promise was broken.",
+		Short: "Run seeds and check the promises",
+		Long: "Run seeds, each with a fleet of its own, and check the promises. A seed determines the plan of faults and the\n" +
+			"requests of callers, but not the timing of the machine. The exit code is 1 if a promise was broken.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return o.run(command.Context(), command.OutOrStdout()) },
 	}
 	flags := command.Flags()
-	flags.StringVar(&o.node, "node", "", "path of tamarackd; the one beside this program if empty")
+	flags.StringVar(&o.node, "node", "", "path of tamarackd; if empty, the one in the folder of this program")
 	flags.Uint64Var(&o.seed, "seed", 1, "the first seed")
-	flags.IntVar(&o.seeds, "seeds", 1, "how many seeds to play, from the first one on")
-	flags.IntVar(&o.parallel, "parallel", 1, "how many to play at a time")
-	flags.DurationVar(&o.length, "length", 20*time.Second, "for how long callers send")
-	flags.IntVar(&o.vms, "vms", 6, "how many VMs")
+	flags.IntVar(&o.seeds, "seeds", 1, "number of seeds to run, counted from the first one")
+	flags.IntVar(&o.parallel, "parallel", 1, "number of seeds to run at the same time")
+	flags.DurationVar(&o.duration, "length", 20*time.Second, "how long callers send requests")
+	flags.IntVar(&o.vms, "vms", 6, "number of VMs")
 	flags.StringVar(&o.keep, "keep", "", "folder for the history and logs of seeds with findings")
 	flags.StringVar(&o.output, "output", "text", "text or json")
-	flags.IntVar(&o.loopback, "loopback", usualLoopback, "second number of the addresses to use, for invocations side by side")
-	flags.StringSliceVar(&o.faults, "faults", nil, "kinds of faults to carry out of each plan; all if empty")
-	flags.BoolVar(&o.untimed, "untimed", false, "let the exit code tell only of promises without a bound in time, for busy machines")
+	flags.IntVar(&o.loopback, "loopback", defaultLoopback, "second octet of the loopback addresses; give parallel invocations different ones")
+	flags.StringSliceVar(&o.faults, "faults", nil, "kinds of faults to inject from each plan; all if empty")
+	flags.BoolVar(&o.untimed, "untimed", false, "ignore promises with a time bound in the exit code, for overloaded machines")
 	return command
 }
 
 func (o *runOptions) check() error {
 	switch {
-	case o.parallel < 1 || o.parallel > mostParallel:
-		return errors.Errorf("--parallel must be 1 to %d", mostParallel)
-	case o.vms < 4 || o.vms > mostVMs:
-		return errors.Errorf("--vms must be 4 to %d", mostVMs)
-	case o.loopback < usualLoopback || o.loopback > mostLoopback:
-		return errors.Errorf("--loopback must be %d to %d", usualLoopback, mostLoopback)
-	case o.length < leastLength:
-		return errors.Errorf("--length must be %s or more", leastLength)
+	case o.parallel < 1 || o.parallel > maxParallel:
+		return errors.Errorf("--parallel must be 1 to %d", maxParallel)
+	case o.vms < 4 || o.vms > maxVMs:
+		return errors.Errorf("--vms must be 4 to %d", maxVMs)
+	case o.loopback < defaultLoopback || o.loopback > maxLoopback:
+		return errors.Errorf("--loopback must be %d to %d", defaultLoopback, maxLoopback)
+	case o.duration < minDuration:
+		return errors.Errorf("--length must be %s or more", minDuration)
 	case o.output != "text" && o.output != "json":
 		return errors.Errorf("--output must be text or json, not %q", o.output)
 	}
@@ -101,12 +101,12 @@
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "this program's path")
+		return errors.Wrap(err, "path of this program")
 	}
 	if o.node == "" {
 		o.node = filepath.Join(filepath.Dir(self), "tamarackd")
 	}
-	results, err := o.playAll(ctx, soak.Programs{Node: o.node, Self: self}, out)
+	results, err := o.runSeeds(ctx, soak.Programs{Node: o.node, Self: self}, out)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 	} else {
 		printTotal(out, results)
 	}
-	if slices.ContainsFunc(results, o.isRed) {
+	if slices.ContainsFunc(results, o.isFailure) {
 		return errFindings
 	}
 	return nil
@@ -133,25 +133,25 @@
 	return kinds
 }
 
-func (o *runOptions) isRed(r *soak.Result) bool {
+func (o *runOptions) isFailure(r *soak.Result) bool {
 	return slices.ContainsFunc(r.Findings, func(f soak.Finding) bool { return !o.untimed || !f.Promise.HasTimeBound() })
 }
 
-// playAll plays the seeds, so many at a time; the first run that can't be made
-// ends it.
-func (o *runOptions) playAll(ctx context.Context, programs soak.Programs, out io.Writer) ([]*soak.Result, error) {
+// runSeeds runs the seeds, o.parallel at a time, and stops at the first run that
+// can't be completed.
+func (o *runOptions) runSeeds(ctx context.Context, programs soak.Programs, out io.Writer) ([]*soak.Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	seeds := make(chan uint64)
 	results := make([]*soak.Result, o.seeds)
 	var mu sync.Mutex
 	var failed error
-	var playing sync.WaitGroup
-	for lane := range o.parallel {
-		playing.Go(func() {
+	var workers sync.WaitGroup
+	for worker := range o.parallel {
+		workers.Go(func() {
 			for seed := range seeds {
 				result, err := soak.Run(ctx, soak.Options{
-					Programs: programs, Seed: seed, Duration: o.length, VMs: o.vms, SecondOctet: o.loopback + lane, KeepDir: o.keep, Kinds: o.kinds(),
+					Programs: programs, Seed: seed, Duration: o.duration, VMs: o.vms, SecondOctet: o.loopback + worker, KeepDir: o.keep, Kinds: o.kinds(),
 				})
 				mu.Lock()
 				if err != nil && failed == nil {
@@ -160,7 +160,7 @@
 				}
 				if err == nil {
 					results[seed-o.seed] = result
-					o.printOne(out, result)
+					o.printResult(out, result)
 				}
 				mu.Unlock()
 			}
@@ -173,28 +173,27 @@
 		seeds <- o.seed + uint64(i)
 	}
 	close(seeds)
-	playing.Wait()
+	workers.Wait()
 	return results, failed
 }
 
-// usualLoopback is the second number of the first run's loopback addresses, and
-// each run beside it has the next one; the project's other tests use 127.0 and 127.64
-// to 127.127.
+// Second octets of loopback addresses. Each parallel run uses the next one. Other
+// tests of the project use 127.0 and 127.64 to 127.127.
 const (
-	usualLoopback = 140
-	mostLoopback  = 250 - mostParallel
+	defaultLoopback = 140
+	maxLoopback     = 250 - maxParallel
 )
 
-// shownFindings is how many findings of a seed are printed.
-const shownFindings = 10
+// maxPrintedFindings bounds the printed findings of one seed.
+const maxPrintedFindings = 10
 
-func (o *runOptions) printOne(out io.Writer, r *soak.Result) {
+func (o *runOptions) printResult(out io.Writer, r *soak.Result) {
 	if o.output != "text" {
 		return
 	}
 	fmt.Fprintf(out, "seed %d: %d faults, %s, %d targets crashed, %d findings\n", r.Seed, len(r.Plan), outcomes(r.Outcomes), r.Crashes, len(r.Findings))
 	for i, f := range r.Findings {
-		if i == shownFindings {
+		if i == maxPrintedFindings {
 			fmt.Fprintln(out, "  ...")
 			break
 		}
@@ -213,14 +212,14 @@
 
 func printTotal(out io.Writer, results []*soak.Result) {
 	counts := map[soak.Outcome]int{}
-	red := 0
+	withFindings := 0
 	for _, r := range results {
 		for outcome, n := range r.Outcomes {
 			counts[outcome] += n
 		}
 		if len(r.Findings) > 0 {
-			red++
+			withFindings++
 		}
 	}
-	fmt.Fprintf(out, "%d seeds, %d with findings; %s\n", len(results), red, outcomes(counts))
+	fmt.Fprintf(out, "%d seeds, %d with findings; %s\n", len(results), withFindings, outcomes(counts))
 }
--- a/internal/soak/cli/plan.go
+++ b/internal/soak/cli/plan.go
@@ -14,28 +14,28 @@
 
 func newPlanCommand() *cobra.Command {
 	var seed uint64
-	var length time.Duration
+	var duration time.Duration
 	var vms int
 	command := &cobra.Command{
 		Use:   "plan",
-		Short: "Show the faults that a seed gives",
+		Short: "Show the plan of faults of a seed",
 		Args:  cobra.NoArgs,
 		Run: func(command *cobra.Command, _ []string) {
-			for _, f := range soak.NewPlan(seed, length, vms) {
+			for _, f := range soak.NewPlan(seed, duration, vms) {
 				fmt.Fprintf(command.OutOrStdout(), "%8s for %-8s %-14s vm %d %s\n", f.At.Round(time.Millisecond), f.Duration.Round(time.Millisecond), f.Kind, f.VM, f.Side)
 			}
 		},
 	}
 	command.Flags().Uint64Var(&seed, "seed", 1, "the seed")
-	command.Flags().DurationVar(&length, "length", 20*time.Second, "for how long callers send")
-	command.Flags().IntVar(&vms, "vms", 6, "how many VMs")
+	command.Flags().DurationVar(&duration, "length", 20*time.Second, "how long callers send requests")
+	command.Flags().IntVar(&vms, "vms", 6, "number of VMs")
 	return command
 }
 
 func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a kept history again",
+		Short: "Check a saved history again",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
--- a/internal/soak/cli/standins.go
+++ b/internal/soak/cli/standins.go
@@ -22,7 +22,7 @@
 	var listen string
 	command := &cobra.Command{
 		Use:   "store",
-		Short: "Stand in for the users' store",
+		Short: "Run a stand-in for the users' store",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			server := &http.Server{Addr: listen, Handler: userstore.New().Handler()}
@@ -34,15 +34,15 @@
 	return command
 }
 
-// Figures of the soak's targets: a few slots, and work that is short beside every
-// bound that is checked.
+// Parameters of the soak's targets: a few slots, and a service time that is short
+// compared with every checked bound.
 const (
 	targetSlots = 8
 	targetWork  = 20 * time.Millisecond
 	heartbeat   = 500 * time.Millisecond
-	// servesOn is how long a target that leaves still serves, a little longer than
-	// work may still reach it.
-	servesOn = 3 * time.Second
+	// shutdownDelay is how long a leaving target still serves requests, a little
+	// longer than requests may still reach it.
+	shutdownDelay = 3 * time.Second
 )
 
 type targetOptions struct {
@@ -54,17 +54,17 @@
 	o := targetOptions{registration: usertarget.Registration{Slots: targetSlots, Heartbeat: heartbeat}}
 	command := &cobra.Command{
 		Use:   "target",
-		Short: "Stand in for a target of the users' platform",
+		Short: "Run a stand-in for a target of the users' platform",
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return o.run() },
 	}
 	flags := command.Flags()
 	flags.StringVar(&o.listen, "listen", "", "address to listen on")
-	flags.StringVar(&o.control, "control", "", "address for the soak's own orders")
-	flags.StringVar(&o.ledger, "ledger", "", "file for what arrives")
+	flags.StringVar(&o.control, "control", "", "address for control requests of the soak")
+	flags.StringVar(&o.ledger, "ledger", "", "file in which arriving requests are recorded")
 	flags.StringVar(&o.registration.Store, "store", "", "address of the store")
-	flags.StringVar(&o.registration.Address, "address", "", "address in the store's entry")
-	flags.StringVar(&o.registration.Instance, "instance", "", "name of this start")
+	flags.StringVar(&o.registration.Address, "address", "", "address in the target's entry in the store")
+	flags.StringVar(&o.registration.Instance, "instance", "", "name of this instance")
 	flags.StringVar(&o.registration.Service, "service", "", "service")
 	flags.StringVar(&o.registration.Zone, "zone", "", "failure domain")
 	return command
@@ -75,7 +75,7 @@
 	if err != nil {
 		return errors.Wrap(err, "ledger")
 	}
-	born := time.Now()
+	startTime := time.Now()
 	t := usertarget.New(o.registration.Instance, o.registration.Service, targetSlots, targetWork, ledger, crash)
 	listener, err := net.Listen("tcp", o.listen)
 	if err != nil {
@@ -85,27 +85,28 @@
 	defer stop()
 	failed := make(chan error, 2)
 	go func() { failed <- http.Serve(listener, t) }()
-	go func() { failed <- http.ListenAndServe(o.control, o.orders(t, born, stop)) }()
+	go func() { failed <- http.ListenAndServe(o.control, o.controlHandler(t, startTime, stop)) }()
 	registered, end := context.WithCancel(context.Background())
 	defer end()
-	go o.registration.Keep(registered, born)
+	go o.registration.Keep(registered, startTime)
 	select {
 	case err := <-failed:
 		return errors.Wrap(err, "target")
 	case <-ctx.Done():
 	}
-	wait.Sleep(context.Background(), servesOn)
+	wait.Sleep(context.Background(), shutdownDelay)
 	end()
 	return o.registration.Remove(context.Background())
 }
 
-// crashStatus is the exit status of a target that a request crashes.
-const crashStatus = 3
+// crashExitCode is the exit code of a target that a request crashed.
+const crashExitCode = 3
 
-func crash() { os.Exit(crashStatus) }
+func crash() { os.Exit(crashExitCode) }
 
-// orders serves what the soak tells the target: how to behave, and to leave.
-func (o *targetOptions) orders(t *usertarget.Target, born time.Time, leave func()) http.Handler {
+// controlHandler serves the soak's control requests: /mode sets the behaviour of the
+// target, /drain makes it leave.
+func (o *targetOptions) controlHandler(t *usertarget.Target, startTime time.Time, stop func()) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/mode", func(w http.ResponseWriter, r *http.Request) {
 		var mode usertarget.Mode
@@ -116,8 +117,8 @@
 		t.SetMode(mode)
 	})
 	mux.HandleFunc("/drain", func(w http.ResponseWriter, r *http.Request) {
-		leave()
-		if err := o.registration.Drain(r.Context(), born); err != nil {
+		stop()
+		if err := o.registration.Drain(r.Context(), startTime); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 		}
 	})
--- a/internal/soak/connection.go
+++ b/internal/soak/connection.go
@@ -11,23 +11,24 @@
 	"github.com/pkg/errors"
 )
 
-// connection is a caller's kept connection. net/http's client sends a request
-// again by itself when a kept connection breaks; the soak must know what became
-// of each one that it sent.
+// connection is a caller's keep-alive connection. It replaces the client of
+// net/http, which resends a request by itself when a keep-alive connection breaks:
+// the soak must know the outcome of each request that it sent.
 type connection struct {
 	address string
 	conn    net.Conn
 	reader  *bufio.Reader
 }
 
-// quietLook is for how long a kept connection is looked at before it is used.
-const quietLook = time.Millisecond
+// peekTimeout is how long open waits for the end of a reused connection to show.
+const peekTimeout = time.Millisecond
 
-// open makes sure of a connection that its other side has not closed.
+// open keeps the current connection, unless the other side has closed it, and opens
+// a new one otherwise.
 func (c *connection) open() error {
 	if c.conn != nil {
-		// A deadline that can't be set shows in the read.
-		_ = c.conn.SetReadDeadline(time.Now().Add(quietLook))
+		// If the deadline can't be set, the read fails.
+		_ = c.conn.SetReadDeadline(time.Now().Add(peekTimeout))
 		if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.close()
 		}
@@ -50,9 +51,9 @@
 	c.conn = nil
 }
 
-// send writes a request once and reads its answer whole.
-func (c *connection) send(request *http.Request, patience time.Duration) (*http.Response, []byte, error) {
-	_ = c.conn.SetDeadline(time.Now().Add(patience))
+// send writes a request once and reads the complete response.
+func (c *connection) send(request *http.Request, timeout time.Duration) (*http.Response, []byte, error) {
+	_ = c.conn.SetDeadline(time.Now().Add(timeout))
 	response, content, err := c.exchange(request)
 	if err != nil || response.Close {
 		c.close()
--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -13,19 +13,19 @@
 	"tamarackquay/standin/usertarget"
 )
 
-// Figures of the callers who send a request that crashes targets.
+// Parameters of the callers that send a crashing request.
 const (
-	// crashPause is between two callers who begin to send it.
+	// crashPause is the time between the starts of two callers.
 	crashPause = 150 * time.Millisecond
-	// crashTries is how often each of them sends it while it isn't told to stay away.
-	crashTries = 3
-	// crashTryPause is between these tries.
-	crashTryPause = 100 * time.Millisecond
+	// crashAttempts is the number of times that each caller sends the request.
+	crashAttempts = 3
+	// crashAttemptPause is the time between these attempts.
+	crashAttemptPause = 100 * time.Millisecond
 )
 
-// sendCrashing lets one caller after another, at any VM, send the same request, which
-// crashes targets.
-func (f *fleet) sendCrashing(ctx context.Context, fault Fault) {
+// runCrashingCallers starts one caller after another, each at a random VM. All of
+// them send the same crashing request.
+func (f *fleet) runCrashingCallers(ctx context.Context, fault Fault) {
 	ctx, stop := context.WithTimeout(ctx, fault.Duration)
 	defer stop()
 	name := fmt.Sprint(usertarget.CrashMark, fault.At.Milliseconds())
@@ -33,37 +33,38 @@
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	for number := 0; wait.Sleep(ctx, crashPause); number++ {
-		c := &caller{fleet: f, member: f.vms[random.IntN(len(f.vms))], name: fmt.Sprint(name, "-", number), book: f.book}
+		c := &caller{fleet: f, machine: f.vms[random.IntN(len(f.vms))], name: fmt.Sprint(name, "-", number), recorder: f.recorder}
 		c.random = rand.New(rand.NewPCG(uint64(fault.At), uint64(number)))
 		sending.Go(func() { c.sendCrashing(ctx, name) })
 	}
 }
 
 func (c *caller) sendCrashing(ctx context.Context, name string) {
-	c.connection.address = at(c.member.public, portCallers)
+	c.connection.address = hostPort(c.machine.public, portCallers)
 	defer c.connection.close()
-	for range crashTries {
+	for range crashAttempts {
 		c.sent++
-		c.book.add(c.askFor(Record{
-			ID: fmt.Sprintf("%s-%d", c.name, c.sent), VM: c.member.number, Path: prefixRead, Idempotent: true, CrashID: name,
+		c.recorder.add(c.sendRequest(Record{
+			ID: fmt.Sprintf("%s-%d", c.name, c.sent), VM: c.machine.number, Path: prefixRead, Idempotent: true, CrashID: name,
 		}))
-		if !wait.Sleep(ctx, crashTryPause) {
+		if !wait.Sleep(ctx, crashAttemptPause) {
 			return
 		}
 	}
 }
 
-// Bounds of a request under which targets crash.
+// Limits for a crashing request.
 const (
-	// toleratedCrashes is after how many crashes the request must be known.
+	// toleratedCrashes is the number of crashes after which the request must be
+	// blocked.
 	toleratedCrashes = 3
-	// toleratedSends is how often it may reach targets once it is.
+	// toleratedSends is how often the request may still reach targets afterwards.
 	toleratedSends = 3
 )
 
-// contained checks that a request under which targets crashed is kept from others, and
-// that none is refused that only ran beside it.
-func (x *index) contained() []Finding {
+// checkContainment checks that a crashing request is blocked from further targets,
+// and that no request is refused that only ran at the time of a crash.
+func (x *index) checkContainment() []Finding {
 	crashing := map[string][]usertarget.Entry{}
 	var found []Finding
 	for _, entry := range x.Entries {
@@ -72,7 +73,7 @@
 		}
 	}
 	for name, entries := range crashing {
-		found = append(found, x.furtherSends(name, entries)...)
+		found = append(found, x.checkFurtherSends(name, entries)...)
 	}
 	for i := range x.Records {
 		r := &x.Records[i]
@@ -83,11 +84,13 @@
 	return found
 }
 
-// quarantinedReason stands in the refusals of requests that are taken to crash targets.
+// quarantinedReason occurs in the refusal of a request that is blocked because it
+// crashed targets.
 const quarantinedReason = `"reason":"quarantined"`
 
-// furtherSends checks one request by the targets' entries of it.
-func (x *index) furtherSends(name string, entries []usertarget.Entry) []Finding {
+// checkFurtherSends checks one crashing request, given the ledger entries of its
+// runs.
+func (x *index) checkFurtherSends(name string, entries []usertarget.Entry) []Finding {
 	var crashes []time.Duration
 	for _, e := range x.Events {
 		if e.Kind == TargetCrashed && slices.ContainsFunc(entries, func(entry usertarget.Entry) bool { return entry.Instance == e.Instance }) {
@@ -98,16 +101,16 @@
 		return nil
 	}
 	slices.Sort(crashes)
-	known := crashes[toleratedCrashes-1] + stability
+	blockedBy := crashes[toleratedCrashes-1] + stabilityWindow
 	further := 0
 	for _, entry := range entries {
 		r := x.records[entry.Request]
-		if entry.At > known && x.calm(r.VM, entry.At, entry.At) && x.calm(x.Targets[entry.Instance], entry.At, entry.At) {
+		if entry.At > blockedBy && x.nodeUndisturbed(r.VM, entry.At, entry.At) && x.nodeUndisturbed(x.Targets[entry.Instance], entry.At, entry.At) {
 			further++
 		}
 	}
 	if further <= toleratedSends {
 		return nil
 	}
-	return []Finding{{Promise: CrashContained, Request: name, At: known, Detail: fmt.Sprintf("sent %d times more after the third crash, %d targets crashed", further, len(crashes))}}
+	return []Finding{{Promise: CrashContained, Request: name, At: blockedBy, Detail: fmt.Sprintf("reached targets %d more times after the third crash and the stability window, %d targets crashed", further, len(crashes))}}
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -22,77 +22,78 @@
 	"tamarackquay/standin/usertarget"
 )
 
-// Programs are the paths of what the soak runs.
+// Programs holds the paths of the executables that the soak runs.
 type Programs struct {
-	// Node is tamarackd, Self the soak's own program, which is also the stand-ins'.
+	// Node is tamarackd. Self is tamaracksoak, which also runs the stand-ins.
 	Node, Self string
 }
 
-// fleet is a running system under test with everything around it.
+// fleet is the running system under test, with its store, targets and relays.
 type fleet struct {
-	programs Programs
-	dir      string
-	net16    int
-	vms      []*member
-	store    *process
-	storeLog logTail
-	client   *http.Client
-
-	// closing is set when everything is ended.
+	programs    Programs
+	dir         string
+	secondOctet int
+	vms         []*machine
+	store       *process
+	storeLog    logTail
+	client      *http.Client
+
+	// closing is set when the fleet is shut down.
 	closing atomic.Bool
-	// book holds what callers were told.
-	book *book
+	// recorder holds the records of all callers.
+	recorder *recorder
 
 	mu      sync.Mutex
 	events  []Event
 	version uint64
-	// started holds the targets started so far.
-	started []instance
+	// instances holds the targets started so far.
+	instances []instance
 }
 
-// instance is one start of a target.
+// instance is one started target process.
 type instance struct {
 	name string
 	vm   int
 }
 
-// member is one VM of a running fleet.
-type member struct {
+// machine is one VM of the running fleet, with its node, target and relays.
+type machine struct {
 	vm
 	settings string
 	relays   map[Side]*Relay
 
-	// stopping and replacing are held while the node or the target is exchanged.
-	stopping, replacing sync.Mutex
+	// nodeRestart is held while the node is being replaced, targetRestart while the
+	// target is being replaced or degraded.
+	nodeRestart, targetRestart sync.Mutex
 
-	mu       sync.Mutex
-	node     *process
-	nodeLog  logTail
-	target   *process
-	targets  logTail
-	instance string
+	mu        sync.Mutex
+	node      *process
+	nodeLog   logTail
+	target    *process
+	targetLog logTail
+	instance  string
 }
 
-// Event is something that was done to the fleet, at moments of the clock that all
-// processes share.
+// Event is an injected fault, or the exit or crash of a process. Times are read
+// from the boot clock, which all processes share.
 type Event struct {
 	Kind Kind `json:"what"`
 	VM   int  `json:"vm"`
-	// Begin and End bound the harm; what a node does in between, or shortly after,
-	// is excused where the promises say so.
+	// Begin and End bound the fault. Promises that exclude faults aren't checked
+	// between them, nor for the stability window afterwards.
 	Begin time.Duration `json:"begin"`
 	End   time.Duration `json:"end"`
 	Side  Side          `json:"side,omitempty"`
-	// Started is when the process that ended had been started.
+	// ProcessStarted is the start time of a node process that exited.
 	ProcessStarted time.Duration `json:"started,omitempty"`
 	Detail         string        `json:"detail,omitempty"`
-	// Version and Instance name what was published, and which target left.
+	// Version is the published version. Instance is the target that left or crashed.
 	Version  uint64 `json:"version,omitempty"`
 	Instance string `json:"instance,omitempty"`
 }
 
-func newFleet(programs Programs, dir string, net16, vms int) (*fleet, error) {
-	f := &fleet{programs: programs, dir: dir, net16: net16, book: &book{}, client: &http.Client{Timeout: 5 * time.Second}}
+func newFleet(programs Programs, dir string, secondOctet, vms int) (*fleet, error) {
+	f := &fleet{programs: programs, dir: dir, secondOctet: secondOctet, recorder: &recorder{}, client: &http.Client{Timeout: 5 * time.Second}}
 	store, err := startProcess(&f.storeLog, nil, programs.Self, "store", "--listen", f.storeAddress())
 	if err != nil {
 		return nil, errors.Wrap(err, "store")
@@ -104,27 +105,27 @@
 	if err := f.publish(); err != nil {
 		return nil, err
 	}
-	for _, vm := range layout(net16, vms) {
-		m := &member{vm: vm, settings: filepath.Join(dir, vm.name+".json"), relays: map[Side]*Relay{}}
+	for _, vm := range newVMs(secondOctet, vms) {
+		m := &machine{vm: vm, settings: filepath.Join(dir, vm.name+".json"), relays: map[Side]*Relay{}}
 		f.vms = append(f.vms, m)
-		if err := f.startMember(m); err != nil {
+		if err := f.startMachine(m); err != nil {
 			return nil, errors.Wrap(err, vm.name)
 		}
 	}
 	return f, f.waitReady()
 }
 
-func (f *fleet) storeAddress() string { return at(hostOf(f.net16, 3, 0), portStore) }
+func (f *fleet) storeAddress() string { return hostPort(hostAddress(f.secondOctet, 3, 0), portStore) }
 
-func (f *fleet) startMember(m *member) error {
-	storeHost := hostOf(f.net16, 4, m.number)
-	for side, ways := range map[Side][2]string{
-		CallerSide: {at(m.public, portCallers), at(m.private, portCallers)},
-		PeerSide:   {at(m.public, portPeers), at(m.private, portPeers)},
-		TargetSide: {at(m.public, portTarget), at(m.private, portTarget)},
-		StoreSide:  {at(storeHost, portStore), f.storeAddress()},
+func (f *fleet) startMachine(m *machine) error {
+	storeHost := hostAddress(f.secondOctet, 4, m.number)
+	for side, addresses := range map[Side][2]string{
+		CallerSide: {hostPort(m.public, portCallers), hostPort(m.private, portCallers)},
+		PeerSide:   {hostPort(m.public, portPeers), hostPort(m.private, portPeers)},
+		TargetSide: {hostPort(m.public, portTarget), hostPort(m.private, portTarget)},
+		StoreSide:  {hostPort(storeHost, portStore), f.storeAddress()},
 	} {
-		relay, err := NewRelay(ways[0], ways[1])
+		relay, err := NewRelay(addresses[0], addresses[1])
 		if err != nil {
 			return err
 		}
@@ -132,9 +133,9 @@
 	}
 	node := userfiles.Node{
 		Name: m.name, IP: m.private, Zone: m.zone, Region: zones[m.zone], Service: m.service,
-		Target: at(m.public, portTarget), Callers: at(m.private, portCallers), Ready: at(m.private, portReady),
-		PeerPort: portPeers, Store: at(storeHost, portStore), Zones: zones,
-		Bounds: userfiles.Bounds{Grace: grace, RepeatRatio: repeatRatio, RepeatFew: repeatFew},
+		Target: hostPort(m.public, portTarget), Callers: hostPort(m.private, portCallers), Ready: hostPort(m.private, portReady),
+		PeerPort: portPeers, Store: hostPort(storeHost, portStore), Zones: zones,
+		Bounds: userfiles.Bounds{Grace: grace, RepeatRatio: retryRatio, RepeatFew: retrySlack},
 	}
 	settings, err := node.Settings()
 	if err != nil {
@@ -149,7 +150,7 @@
 	return f.startNode(m)
 }
 
-func (f *fleet) startNode(m *member) error {
+func (f *fleet) startNode(m *machine) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	node, err := startProcess(&m.nodeLog, []string{"TAMARACKQUAY_CONFIG=" + m.settings}, f.programs.Node, "sidecar")
@@ -157,76 +158,78 @@
 		return err
 	}
 	m.node = node
-	go f.restartEnded(m, node, target.SinceBoot())
+	go f.restartExitedNode(m, node, target.SinceBoot())
 	return nil
 }
 
-// restartEnded starts a node's process again that ended by itself, as the platform
-// does, and notes it. A process that the soak ended is none of its business.
-func (f *fleet) restartEnded(m *member, node *process, started time.Duration) {
+// restartExitedNode waits until a node's process ends. If it exited by itself, it
+// is recorded and started again, as the platform does. Processes that the soak
+// ended are ignored.
+func (f *fleet) restartExitedNode(m *machine, node *process, started time.Duration) {
 	<-node.done
-	if !m.stopping.TryLock() {
+	if !m.nodeRestart.TryLock() {
 		return
 	}
-	defer m.stopping.Unlock()
+	defer m.nodeRestart.Unlock()
 	if current, _ := m.processes(); current != node || f.closing.Load() {
 		return
 	}
 	event := Event{Kind: NodeExited, VM: m.number, Begin: target.SinceBoot(), ProcessStarted: started, Detail: node.cmd.ProcessState.String()}
-	time.Sleep(downFor)
+	time.Sleep(restartDelay)
 	if err := f.startNode(m); err != nil {
 		event.Detail += "; " + err.Error()
 	}
 	event.End = target.SinceBoot()
-	f.note(event)
+	f.recordEvent(event)
 }
 
-// startTarget starts a new instance at the VM's address.
-func (f *fleet) startTarget(m *member) error {
+// startTarget starts a new target instance at the VM's address.
+func (f *fleet) startTarget(m *machine) error {
 	f.mu.Lock()
-	name := fmt.Sprintf("i-%d", len(f.started)+1)
-	f.started = append(f.started, instance{name: name, vm: m.number})
+	name := fmt.Sprintf("i-%d", len(f.instances)+1)
+	f.instances = append(f.instances, instance{name: name, vm: m.number})
 	f.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	started, err := startProcess(&m.targets, nil, f.programs.Self, "target",
-		"--listen", at(m.private, portTarget), "--control", at(m.private, portControl), "--address", at(m.public, portTarget),
+	started, err := startProcess(&m.targetLog, nil, f.programs.Self, "target",
+		"--listen", hostPort(m.private, portTarget), "--control", hostPort(m.private, portControl), "--address", hostPort(m.public, portTarget),
 		"--store", f.storeAddress(), "--instance", name, "--service", m.service, "--zone", m.zone,
 		"--ledger", filepath.Join(f.dir, name+".ledger"))
 	m.target, m.instance = started, name
 	if err == nil {
-		go f.restartCrashed(m, started, name)
+		go f.restartCrashedTarget(m, started, name)
 	}
 	return err
 }
 
-// crashedFor is how long a target stays away that a request crashed.
-const crashedFor = time.Second
+// crashRestartDelay is the downtime of a target that a request crashed.
+const crashRestartDelay = time.Second
 
-// restartCrashed starts another instance for a target that ended by itself, and notes the
-// crash. One that the soak ended is none of its business.
-func (f *fleet) restartCrashed(m *member, ended *process, name string) {
+// restartCrashedTarget waits until a target ends. If it crashed, the crash is
+// recorded and another instance is started. Targets that the soak ended are
+// ignored.
+func (f *fleet) restartCrashedTarget(m *machine, ended *process, name string) {
 	<-ended.done
 	at := target.SinceBoot()
 	if ended.cmd.ProcessState.ExitCode() <= 0 || f.closing.Load() {
 		return
 	}
-	f.note(Event{Kind: TargetCrashed, VM: m.number, Begin: at, End: at, Instance: name})
-	m.replacing.Lock()
-	defer m.replacing.Unlock()
+	f.recordEvent(Event{Kind: TargetCrashed, VM: m.number, Begin: at, End: at, Instance: name})
+	m.targetRestart.Lock()
+	defer m.targetRestart.Unlock()
 	if _, current := m.processes(); current != ended {
 		return
 	}
-	time.Sleep(crashedFor)
+	time.Sleep(crashRestartDelay)
 	if f.closing.Load() {
 		return
 	}
 	if err := f.startTarget(m); err != nil {
-		f.note(Event{Kind: TargetCrashed, VM: m.number, Begin: at, End: target.SinceBoot(), Detail: err.Error()})
+		f.recordEvent(Event{Kind: TargetCrashed, VM: m.number, Begin: at, End: target.SinceBoot(), Detail: err.Error()})
 	}
 }
 
-// close ends everything that was started.
+// close ends all processes and relays of the fleet.
 func (f *fleet) close() {
 	f.closing.Store(true)
 	for _, m := range f.vms {
@@ -244,8 +247,8 @@
 	}
 }
 
-// readyWithin bounds the start of a fleet on a loaded machine.
-const readyWithin = 20 * time.Second
+// readyTimeout bounds the start of a process of the fleet, also on a loaded machine.
+const readyTimeout = 20 * time.Second
 
 func (f *fleet) waitStore() error {
 	return f.waitFor("the store", func() bool { return f.get("http://" + f.storeAddress() + userstore.PathProbe) })
@@ -253,20 +256,20 @@
 
 func (f *fleet) waitReady() error {
 	for _, m := range f.vms {
-		if err := f.waitFor(m.name, func() bool { return f.get("http://" + at(m.private, portReady) + "/ready") }); err != nil {
+		if err := f.waitFor(m.name, func() bool { return f.get("http://" + hostPort(m.private, portReady) + "/ready") }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *fleet) waitFor(what string, ready func() bool) error {
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+func (f *fleet) waitFor(name string, ready func() bool) error {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if ready() {
 			return nil
 		}
 	}
-	return errors.Errorf("%s was not ready within %s", what, readyWithin)
+	return errors.Errorf("%s was not ready within %s", name, readyTimeout)
 }
 
 func (f *fleet) get(address string) bool {
@@ -278,14 +281,15 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (f *fleet) note(event Event) {
+func (f *fleet) recordEvent(event Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events = append(f.events, event)
 }
 
-// admin writes to the store as operators and the platform do.
-func (f *fleet) admin(path string, query url.Values, body []byte) error {
+// postToStore sends an administrative request to the store, as operators and the
+// platform do.
+func (f *fleet) postToStore(path string, query url.Values, body []byte) error {
 	response, err := f.client.Post("http://"+f.storeAddress()+path+"?"+query.Encode(), "", bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "store")
@@ -293,11 +297,11 @@
 	return response.Body.Close()
 }
 
-// routeTimeout is that of all routes of the soak.
+// routeTimeout is the timeout of all routes.
 const routeTimeout = 2 * time.Second
 
-// publish puts the next version in force. It keeps the routes of its own of the
-// last few versions, so that old ones vanish again.
+// publish publishes the next version. Each version has all routes that are specific
+// to it or to an older version.
 func (f *fleet) publish() error {
 	f.mu.Lock()
 	f.version++
@@ -318,15 +322,15 @@
 		return err
 	}
 	begin := target.SinceBoot()
-	if err := f.admin(userstore.PathPut, url.Values{"key": {userfiles.ConfigKey}}, config); err != nil {
+	if err := f.postToStore(userstore.PathPut, url.Values{"key": {userfiles.ConfigKey}}, config); err != nil {
 		return err
 	}
-	f.note(Event{Kind: Publish, VM: all, Begin: begin, End: target.SinceBoot(), Version: version})
+	f.recordEvent(Event{Kind: Publish, VM: allVMs, Begin: begin, End: target.SinceBoot(), Version: version})
 	return nil
 }
 
-// ledgers reads what all targets wrote, killed ones too.
-func (f *fleet) ledgers() ([]usertarget.Entry, error) {
+// readLedgers reads the ledgers of all targets, including killed ones.
+func (f *fleet) readLedgers() ([]usertarget.Entry, error) {
 	files, err := filepath.Glob(filepath.Join(f.dir, "*.ledger"))
 	if err != nil {
 		return nil, err
@@ -341,7 +345,7 @@
 		for decoder := json.NewDecoder(bytes.NewReader(raw)); decoder.More(); {
 			var entry usertarget.Entry
 			if err := decoder.Decode(&entry); err != nil {
-				// A killed target may have been writing its last line.
+				// A killed target may leave an incomplete last line.
 				break
 			}
 			entries = append(entries, entry)
@@ -350,47 +354,48 @@
 	return entries, nil
 }
 
-func (m *member) processes() (node, target *process) {
+func (m *machine) processes() (node, target *process) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node, m.target
 }
 
-func (m *member) setMode(client *http.Client, mode usertarget.Mode) error {
+func (m *machine) setMode(client *http.Client, mode usertarget.Mode) error {
 	body, err := json.Marshal(mode)
 	if err != nil {
 		return err
 	}
-	return m.order(client, "/mode", body)
+	return m.postControl(client, "/mode", body)
 }
 
-// order tells a target something. One that has crashed is told nothing, and one that has
-// just been started is told once it listens.
-func (m *member) order(client *http.Client, path string, body []byte) error {
+// postControl sends a control request to a target. It retries until a target that
+// was just started listens, and gives up without an error if the target has ended.
+func (m *machine) postControl(client *http.Client, path string, body []byte) error {
 	_, running := m.processes()
-	for until := time.Now().Add(orderPatience); ; {
-		response, err := client.Post("http://"+at(m.private, portControl)+path, "application/json", bytes.NewReader(body))
+	for deadline := time.Now().Add(controlTimeout); ; {
+		response, err := client.Post("http://"+hostPort(m.private, portControl)+path, "application/json", bytes.NewReader(body))
 		if err == nil {
 			return response.Body.Close()
 		}
 		select {
 		case <-running.done:
 			return nil
-		case <-time.After(orderPause):
+		case <-time.After(controlRetryInterval):
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-// orderPatience bounds the start of a target, orderPause is between two tries.
+// controlTimeout bounds the start of a target; controlRetryInterval is the time
+// between two attempts.
 const (
-	orderPatience = 5 * time.Second
-	orderPause    = 20 * time.Millisecond
+	controlTimeout       = 5 * time.Second
+	controlRetryInterval = 20 * time.Millisecond
 )
 
-func (m *member) reload() {
+func (m *machine) reload() {
 	node, _ := m.processes()
 	node.signal(syscall.SIGHUP)
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -7,18 +7,18 @@
 	"tamarackquay/standin/usertarget"
 )
 
-// History is all that was seen in one run.
+// History holds all observations of one run.
 type History struct {
 	Records []Record           `json:"records"`
 	Entries []usertarget.Entry `json:"entries"`
 	Events  []Event            `json:"events"`
-	// Services and Targets tell the service beside each VM and the VM of each
-	// instance.
+	// Services is indexed by VM and holds the service of its target. Targets maps
+	// each target instance to its VM.
 	Services []string       `json:"services"`
 	Targets  map[string]int `json:"targets"`
 }
 
-// index holds a history by request.
+// index is a history with records and runs indexed by request ID.
 type index struct {
 	*History
 	records map[string]*Record
@@ -38,60 +38,61 @@
 	return x
 }
 
-// harms reports whether an event disturbs a VM. Planned work doesn't, but for the
-// VM on which a process is exchanged.
-func (e *Event) harms(vm int) bool {
+// affects reports whether an event disturbs a VM. Publishing and reloading disturb
+// none. A planned replacement disturbs only the VM whose process is replaced.
+func (e *Event) affects(vm int) bool {
 	switch e.Kind {
 	case Publish, PublishBurst, ReloadNode:
 		return false
 	case BusyStore, CompactStore, OverloadedService:
 		return true
 	}
-	return e.VM == vm || e.VM == all
+	return e.VM == vm || e.VM == allVMs
 }
 
-// unplanned reports whether an event is a fault, and no work that operators plan.
+// unplanned reports whether an event is a fault rather than a planned operation.
 func (e *Event) unplanned() bool {
 	fault := Fault{Kind: e.Kind}
 	return !fault.planned()
 }
 
-// disturbsNode reports whether an event keeps a node itself from learning and doing
-// what it should. What becomes of its target is no excuse for that.
-func (e *Event) disturbsNode(vm int) bool {
+// affectsNode reports whether an event disturbs the node of a VM. Faults of its
+// target don't: the node must still receive updates and act in time.
+func (e *Event) affectsNode(vm int) bool {
 	switch e.Kind {
 	case KillTarget, DrainTarget, FailingTarget, SlowTarget, OverloadedService, CrashRequest, TargetCrashed:
 		return false
 	}
-	return e.harms(vm)
+	return e.affects(vm)
 }
 
-// calm reports whether a VM's node was left alone from a stability window before a
-// moment to another one.
-func (h *History) calm(vm int, from, to time.Duration) bool {
+// nodeUndisturbed reports whether no event affected a VM's node between two moments
+// and in the stability window before them.
+func (h *History) nodeUndisturbed(vm int, from, to time.Duration) bool {
 	return !slices.ContainsFunc(h.Events, func(e Event) bool {
-		return e.disturbsNode(vm) && e.Begin <= to && e.End+stability >= from
+		return e.affectsNode(vm) && e.Begin <= to && e.End+stabilityWindow >= from
 	})
 }
 
-// undisturbed reports whether nothing unplanned harmed a VM, its target included.
+// undisturbed reports whether no unplanned event affected a VM or its target
+// between two moments and in the stability window before them.
 func (h *History) undisturbed(vm int, from, to time.Duration) bool {
 	return !slices.ContainsFunc(h.Events, func(e Event) bool {
-		return e.unplanned() && e.harms(vm) && e.Begin <= to && e.End+stability >= from
+		return e.unplanned() && e.affects(vm) && e.Begin <= to && e.End+stabilityWindow >= from
 	})
 }
 
-// published returns the versions whose publication had begun at a moment, and the
-// newest whose bound for being in force was over at another; 0 for none.
-func (h *History) published(begun, inForce time.Duration) (versions []uint64, newest uint64) {
+// published returns the versions whose publication began no later than publishedBy,
+// and the newest version that had to be applied before appliedBy, or 0 for none.
+func (h *History) published(publishedBy, appliedBy time.Duration) (versions []uint64, newest uint64) {
 	for _, e := range h.Events {
 		if e.Kind != Publish || e.Version == 0 {
 			continue
 		}
-		if e.Begin <= begun {
+		if e.Begin <= publishedBy {
 			versions = append(versions, e.Version)
 		}
-		if e.End+applyBound < inForce {
+		if e.End+applyBound < appliedBy {
 			newest = max(newest, e.Version)
 		}
 	}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -17,26 +17,29 @@
 	"tamarackquay/standin/usertarget"
 )
 
-// Figures of faults.
+// Parameters of faults.
 const (
-	// downFor is how long a killed process stays away.
-	downFor = 300 * time.Millisecond
-	// linkDelay is far above a round trip and far below every deadline.
+	// restartDelay is the time between the end of a process and its restart.
+	restartDelay = 300 * time.Millisecond
+	// linkDelay is the added delay of a slow link: far above a round trip and far
+	// below every deadline.
 	linkDelay = 60 * time.Millisecond
-	// stormOf versions are published stormPause apart.
-	stormOf    = 6
-	stormPause = 80 * time.Millisecond
-	// slower is how many times longer a slow target works.
-	slower = 8
+	// A burst publishes burstSize versions, burstPause apart.
+	burstSize  = 6
+	burstPause = 80 * time.Millisecond
+	// slowFactor multiplies the service time of a slow target.
+	slowFactor = 8
 )
 
-// ill is how an ill target treats its requests: most of them well.
-var ill = usertarget.Mode{Lose: 0.1, Cut: 0.1, Shed: 0.2, Fail: 0.1}
+// failingMode is the behaviour of a failing target, which still serves most of its
+// requests.
+var failingMode = usertarget.Mode{Lose: 0.1, Cut: 0.1, Shed: 0.2, Fail: 0.1}
 
-// overloaded is how every target of a service behaves in IllService.
-var overloaded = usertarget.Mode{Shed: 0.9}
+// overloadedMode is the behaviour of every target of a service under
+// OverloadedService.
+var overloadedMode = usertarget.Mode{Shed: 0.9}
 
-// inject carries out a plan and returns when the last fault has ended.
+// inject injects the faults of a plan and returns when the last one has ended.
 func (f *fleet) inject(ctx context.Context, plan []Fault) error {
 	begin := time.Now()
 	var running sync.WaitGroup
@@ -45,7 +48,7 @@
 		if !wait.Sleep(ctx, time.Until(begin.Add(fault.At))) {
 			break
 		}
-		running.Go(func() { failed <- errors.Wrapf(f.do(ctx, fault), "%s on %d", fault.Kind, fault.VM) })
+		running.Go(func() { failed <- errors.Wrapf(f.injectFault(ctx, fault), "%s on %d", fault.Kind, fault.VM) })
 	}
 	running.Wait()
 	close(failed)
@@ -57,36 +60,36 @@
 	return nil
 }
 
-// do carries out one fault and notes it, from just before its begin to just after
-// its end.
-func (f *fleet) do(ctx context.Context, fault Fault) error {
+// injectFault injects one fault and records it. The recorded times enclose the
+// fault: they are taken just before its begin and just after its end.
+func (f *fleet) injectFault(ctx context.Context, fault Fault) error {
 	event := Event{Kind: fault.Kind, VM: fault.VM, Begin: target.SinceBoot(), Side: fault.Side}
-	err := f.carryOut(ctx, fault, &event)
+	err := f.applyFault(ctx, fault, &event)
 	event.End = target.SinceBoot()
-	f.note(event)
+	f.recordEvent(event)
 	return err
 }
 
-func (f *fleet) carryOut(ctx context.Context, fault Fault, event *Event) error {
+func (f *fleet) applyFault(ctx context.Context, fault Fault, event *Event) error {
 	switch fault.Kind {
 	case Publish:
 		return f.publish()
 	case PublishBurst:
-		return f.storm(ctx)
+		return f.publishBurst(ctx)
 	case BusyStore:
 		return f.busyStore(ctx, fault.Duration)
 	case CompactStore:
-		return f.admin(userstore.PathForget, nil, nil)
+		return f.postToStore(userstore.PathForget, nil, nil)
 	case KillAll:
-		return f.killAll(ctx, fault.Duration)
+		return f.killAllNodes(ctx, fault.Duration)
 	case CrashRequest:
-		f.sendCrashing(ctx, fault)
+		f.runCrashingCallers(ctx, fault)
 		return nil
 	}
 	m := f.vms[fault.VM]
 	switch fault.Kind {
 	case DelayLink, ResetLink, OneWayLink, BlackholeLink:
-		m.harmLink(ctx, fault)
+		m.disturbLink(ctx, fault)
 		return nil
 	case ReloadNode:
 		m.reload()
@@ -98,48 +101,48 @@
 		node.signal(syscall.SIGCONT)
 		return nil
 	case KillNode, RestartNode:
-		return f.stopNode(ctx, m, fault.Kind)
+		return f.replaceNode(ctx, m, fault.Kind)
 	case KillTarget, DrainTarget:
 		return f.replaceTarget(ctx, m, fault, event)
 	}
 	if fault.Kind == OverloadedService {
-		return f.illService(ctx, m.service, fault.Duration)
+		return f.overloadService(ctx, m.service, fault.Duration)
 	}
-	return f.illTarget(ctx, m, fault)
+	return f.degradeTarget(ctx, m, fault)
 }
 
-func (f *fleet) storm(ctx context.Context) error {
-	for range stormOf {
+func (f *fleet) publishBurst(ctx context.Context) error {
+	for range burstSize {
 		if err := f.publish(); err != nil {
 			return err
 		}
-		if !wait.Sleep(ctx, stormPause) {
+		if !wait.Sleep(ctx, burstPause) {
 			break
 		}
 	}
 	return nil
 }
 
-func (f *fleet) busyStore(ctx context.Context, length time.Duration) error {
+func (f *fleet) busyStore(ctx context.Context, duration time.Duration) error {
 	busy := func(on bool) error {
-		return f.admin(userstore.PathBusy, url.Values{"on": {strconv.FormatBool(on)}}, nil)
+		return f.postToStore(userstore.PathBusy, url.Values{"on": {strconv.FormatBool(on)}}, nil)
 	}
 	if err := busy(true); err != nil {
 		return err
 	}
-	wait.Sleep(ctx, length)
+	wait.Sleep(ctx, duration)
 	return busy(false)
 }
 
-// stopNode ends a node's process and starts another one, unless that is being done
-// already.
-func (f *fleet) stopNode(ctx context.Context, m *member, how Kind) error {
-	if !m.stopping.TryLock() {
+// replaceNode ends a node's process and starts another one. It does nothing if the
+// node is already being replaced.
+func (f *fleet) replaceNode(ctx context.Context, m *machine, kind Kind) error {
+	if !m.nodeRestart.TryLock() {
 		return nil
 	}
-	defer m.stopping.Unlock()
+	defer m.nodeRestart.Unlock()
 	node, _ := m.processes()
-	if how == RestartNode {
+	if kind == RestartNode {
 		node.signal(syscall.SIGTERM)
 		select {
 		case <-node.done:
@@ -147,17 +150,17 @@
 		}
 	}
 	node.end()
-	wait.Sleep(ctx, downFor)
+	wait.Sleep(ctx, restartDelay)
 	if err := f.startNode(m); err != nil {
 		return err
 	}
-	return f.waitFor(m.name, func() bool { return f.get("http://" + at(m.private, portReady) + "/ready") })
+	return f.waitFor(m.name, func() bool { return f.get("http://" + hostPort(m.private, portReady) + "/ready") })
 }
 
-func (f *fleet) killAll(ctx context.Context, length time.Duration) error {
+func (f *fleet) killAllNodes(ctx context.Context, duration time.Duration) error {
 	for _, m := range f.vms {
-		m.stopping.Lock()
-		defer m.stopping.Unlock()
+		m.nodeRestart.Lock()
+		defer m.nodeRestart.Unlock()
 	}
 	for _, m := range f.vms {
 		node, _ := m.processes()
@@ -167,7 +170,7 @@
 		node, _ := m.processes()
 		node.end()
 	}
-	wait.Sleep(ctx, length)
+	wait.Sleep(ctx, duration)
 	for _, m := range f.vms {
 		if err := f.startNode(m); err != nil {
 			return err
@@ -176,21 +179,22 @@
 	return f.waitReady()
 }
 
-// replaceTarget ends a target, at once or in the planned way, and starts another
-// instance at its address.
-func (f *fleet) replaceTarget(ctx context.Context, m *member, fault Fault, event *Event) error {
-	if !m.replacing.TryLock() {
+// replaceTarget kills or drains a target, and starts another instance at its
+// address. It does nothing if the target is already being replaced.
+func (f *fleet) replaceTarget(ctx context.Context, m *machine, fault Fault, event *Event) error {
+	if !m.targetRestart.TryLock() {
 		return nil
 	}
-	defer m.replacing.Unlock()
+	defer m.targetRestart.Unlock()
 	_, running := m.processes()
 	event.Instance = m.instance
 	if fault.Kind == DrainTarget {
 		if err := m.drain(f.client); err != nil {
 			return err
 		}
-		// The promise counts from the store's word, which came before this.
-		f.note(Event{Kind: DrainTarget, VM: m.number, Begin: event.Begin, End: target.SinceBoot(), Instance: m.instance})
+		// The drain bound starts when the store records the departure, which is
+		// before this moment.
+		f.recordEvent(Event{Kind: DrainTarget, VM: m.number, Begin: event.Begin, End: target.SinceBoot(), Instance: m.instance})
 		select {
 		case <-running.done:
 		case <-time.After(drainBound + grace):
@@ -203,18 +207,18 @@
 	return f.startTarget(m)
 }
 
-// drain asks the target to leave; it returns when the store knows.
-func (m *member) drain(client *http.Client) error { return m.order(client, "/drain", nil) }
+// drain asks the target to leave, and returns after the store has recorded it.
+func (m *machine) drain(client *http.Client) error { return m.postControl(client, "/drain", nil) }
 
-func (f *fleet) illTarget(ctx context.Context, m *member, fault Fault) error {
-	mode := ill
+func (f *fleet) degradeTarget(ctx context.Context, m *machine, fault Fault) error {
+	mode := failingMode
 	if fault.Kind == SlowTarget {
-		mode = usertarget.Mode{Slower: slower}
+		mode = usertarget.Mode{Slower: slowFactor}
 	}
-	if !m.replacing.TryLock() {
+	if !m.targetRestart.TryLock() {
 		return nil
 	}
-	defer m.replacing.Unlock()
+	defer m.targetRestart.Unlock()
 	if err := m.setMode(f.client, mode); err != nil {
 		return err
 	}
@@ -222,25 +226,26 @@
 	return m.setMode(f.client, usertarget.Mode{})
 }
 
-// illService changes the targets of a service that aren't being exchanged.
-func (f *fleet) illService(ctx context.Context, service string, length time.Duration) error {
-	var held []*member
+// overloadService makes all targets of a service shed, except those that are being
+// replaced.
+func (f *fleet) overloadService(ctx context.Context, service string, duration time.Duration) error {
+	var locked []*machine
 	defer func() {
-		for _, m := range held {
-			m.replacing.Unlock()
+		for _, m := range locked {
+			m.targetRestart.Unlock()
 		}
 	}()
 	for _, m := range f.vms {
-		if m.service != service || !m.replacing.TryLock() {
+		if m.service != service || !m.targetRestart.TryLock() {
 			continue
 		}
-		held = append(held, m)
-		if err := m.setMode(f.client, overloaded); err != nil {
+		locked = append(locked, m)
+		if err := m.setMode(f.client, overloadedMode); err != nil {
 			return err
 		}
 	}
-	wait.Sleep(ctx, length)
-	for _, m := range held {
+	wait.Sleep(ctx, duration)
+	for _, m := range locked {
 		if err := m.setMode(f.client, usertarget.Mode{}); err != nil {
 			return err
 		}
@@ -248,7 +253,7 @@
 	return nil
 }
 
-func (m *member) harmLink(ctx context.Context, fault Fault) {
+func (m *machine) disturbLink(ctx context.Context, fault Fault) {
 	relay := m.relays[fault.Side]
 	switch fault.Kind {
 	case DelayLink:
--- a/internal/soak/layout.go
+++ b/internal/soak/layout.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// The promises' figures that the soak checks by, as the users' smaller sites have
-// them.
+// Bounds of the promises, as the users' smaller sites configure them.
 const (
-	// drainBound is how long after the store took note of a target's leaving work
-	// may still reach it.
+	// drainBound is the time after the store has recorded that a target leaves in
+	// which requests may still reach it.
 	drainBound = 2500 * time.Millisecond
-	// applyBound is how long after the store took a version requests may still be
-	// handled by an older one.
+	// applyBound is the time after the store has accepted a version in which
+	// requests may still be handled with an older one.
 	applyBound = 2500 * time.Millisecond
-	// stability is for how long a node must have been left alone for the bounds
-	// to hold for it.
-	stability = 3 * time.Second
-	// grace is the time between the order to stop and the kill.
+	// stabilityWindow is the time without disturbance after which the bounds apply to
+	// a node.
+	stabilityWindow = 3 * time.Second
+	// grace is the time between SIGTERM and SIGKILL.
 	grace = 6 * time.Second
-	// lossSlack is how late a connection may end that crosses a request.
-	lossSlack = 200 * time.Millisecond
-	// recovery is how long after the last fault the fleet must serve again.
-	recovery = 4 * time.Second
-	// repeatRatio and repeatFew bound arrivals beyond the first in each
-	// budgetWindow.
-	repeatRatio = 0.2
-	repeatFew   = 56
-	// budgetWindow is the span over which repeats are counted.
+	// closeRaceWindow is the time within which a request may fail because the other
+	// side was closing the connection when the request was sent.
+	closeRaceWindow = 200 * time.Millisecond
+	// recoveryTime is the time after the last fault by which the fleet must serve
+	// requests again.
+	recoveryTime = 4 * time.Second
+	// retryRatio and retrySlack bound the retries in each budgetWindow: a fraction of
+	// the requests, plus a constant.
+	retryRatio = 0.2
+	retrySlack = 56
+	// budgetWindow is the window over which retries are counted.
 	budgetWindow = 10 * time.Second
 )
 
-// Ports of a VM. The public host is what the store lists, and relays listen there;
-// the node and the target themselves listen on the private one.
+// Ports of a VM. The store lists the public address, at which relays listen. The
+// node and the target themselves listen at the private address.
 const (
 	portTarget  = 8628
 	portCallers = 8629
@@ -44,7 +45,7 @@
 	portControl = 8630
 )
 
-// vm is where one node and its target run.
+// vm describes one VM, which runs a node and its target.
 type vm struct {
 	number          int
 	name            string
@@ -60,28 +61,28 @@
 	zoneList = []string{"a1", "b1"}
 )
 
-// hostOf returns a loopback address of a run. Net16 is the part of loopback that
-// the run uses alone, so that runs side by side don't meet; side tells the public
-// addresses of VMs from their private ones and the store's.
-func hostOf(net16, side, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", net16, side, number+1)
+// hostAddress returns a loopback address of a run. Each run has a secondOctet of its
+// own, so that parallel runs don't share addresses. The group separates the public
+// addresses of VMs from their private ones and from those of the store.
+func hostAddress(secondOctet, group, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", secondOctet, group, number+1)
 }
 
-func layout(net16, vms int) []vm {
-	made := make([]vm, vms)
-	for i := range made {
-		made[i] = vm{
+func newVMs(secondOctet, vms int) []vm {
+	list := make([]vm, vms)
+	for i := range list {
+		list[i] = vm{
 			number: i, name: fmt.Sprint("vm", i), service: services[i%len(services)], zone: zoneList[i/len(services)%len(zoneList)],
-			public: hostOf(net16, 1, i), private: hostOf(net16, 2, i),
+			public: hostAddress(secondOctet, 1, i), private: hostAddress(secondOctet, 2, i),
 		}
 	}
-	return made
+	return list
 }
 
-func at(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
+func hostPort(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
-// The routes that callers use. The moving one leads to another service with each
-// version; each version also has a route of its own that no older one has.
+// The routes that callers use. Each version points the moving route to another
+// service, and adds a route that no older version has.
 const (
 	prefixRead   = "/read/"
 	prefixFile   = "/file/"
@@ -90,5 +91,5 @@
 
 func prefixOfVersion(version uint64) string { return fmt.Sprintf("/v%d/", version) }
 
-// movingService is where a version sends the moving route.
+// movingService returns the service to which a version points the moving route.
 func movingService(version uint64) string { return services[version%uint64(len(services))] }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,7 +1,7 @@
-// Package soak runs real nodes as separate processes on loopback, does them harm
-// by a plan that a seed gives, and checks what callers and targets see against the
-// promises of the product. It injects every fault from outside: by relays between
-// the processes, and by signals.
+// Package soak runs real nodes as separate processes on loopback, injects faults
+// according to a plan derived from a seed, and checks the observations of callers
+// and targets against the promises of the product. All faults are injected from
+// outside the nodes: by relays between the processes, and by signals.
 package soak
 
 import (
@@ -10,56 +10,55 @@
 	"time"
 )
 
-// Kind is what a fault does.
+// Kind is the kind of a fault or an event.
 type Kind string
 
 // The kinds of faults.
 const (
-	// KillNode ends a node's process at once; it is started again.
+	// KillNode kills a node's process and starts it again.
 	KillNode Kind = "kill-node"
-	// FreezeNode stops a node's process and lets it go on.
+	// FreezeNode suspends a node's process with SIGSTOP and resumes it.
 	FreezeNode Kind = "freeze-node"
-	// RestartNode stops a node in the planned way and starts it again.
+	// RestartNode stops a node gracefully and starts it again.
 	RestartNode Kind = "restart-node"
-	// ReloadNode tells a node that its settings changed.
+	// ReloadNode makes a node reload its settings (SIGHUP).
 	ReloadNode Kind = "reload-node"
-	// KillTarget ends a target at once; another instance starts at its address.
+	// KillTarget kills a target and starts another instance at its address.
 	KillTarget Kind = "kill-target"
-	// DrainTarget lets a target leave in the planned way, and another instance
-	// start at its address.
+	// DrainTarget drains a target and starts another instance at its address.
 	DrainTarget Kind = "drain-target"
-	// IllTarget makes a target lose, cut, shed or fail a part of its requests.
+	// FailingTarget makes a target lose, cut, shed or fail some of its requests.
 	FailingTarget Kind = "ill-target"
-	// IllService makes all targets of a VM's service shed nearly everything, for
-	// long enough to use up the fleet's budget of repeats.
+	// OverloadedService makes all targets of a VM's service shed nearly all
+	// requests, for long enough to exhaust the fleet's retry budget.
 	OverloadedService Kind = "ill-service"
-	// SlowTarget makes a target work several times as long.
+	// SlowTarget multiplies a target's service time.
 	SlowTarget Kind = "slow-target"
-	// DelayLink, ResetLink, OneWayLink and SilentLink harm the connections on one
-	// side of a VM: each piece comes later, connections are reset, one direction
-	// or both are held back.
+	// DelayLink, ResetLink, OneWayLink and BlackholeLink disturb the connections on
+	// one side of a VM: they delay all data, reset connections, or hold back one
+	// direction or both.
 	DelayLink     Kind = "delay-link"
 	ResetLink     Kind = "reset-link"
 	OneWayLink    Kind = "one-way-link"
 	BlackholeLink Kind = "silent-link"
-	// BusyStore makes the store turn everybody away, ForgetStore drops its history.
+	// BusyStore makes the store refuse all requests; CompactStore drops its history.
 	BusyStore    Kind = "busy-store"
 	CompactStore Kind = "forget-store"
-	// Publish puts a new version in force, Storm several in quick succession.
+	// Publish publishes a new version, PublishBurst several in quick succession.
 	Publish      Kind = "publish"
 	PublishBurst Kind = "storm"
-	// KillAll ends every node's process at the same moment.
+	// KillAll kills the processes of all nodes at the same moment.
 	KillAll Kind = "kill-all"
-	// CrashRequest lets callers at all VMs send a request, again and again, that crashes
+	// CrashRequest makes callers at all VMs repeatedly send a request that crashes
 	// each target that begins to run it.
 	CrashRequest Kind = "crash-request"
-	// TargetCrashed is in no plan: a target ended under such a request.
+	// TargetCrashed is an event only: a target crashed under such a request.
 	TargetCrashed Kind = "target-crashed"
-	// NodeEnded is in no plan: a node's process ended by itself.
+	// NodeExited is an event only: a node's process exited by itself.
 	NodeExited Kind = "node-ended"
 )
 
-// Side is which of a VM's connections a link fault harms.
+// Side selects the connections of a VM that a link fault disturbs.
 type Side string
 
 // The sides of a VM.
@@ -77,13 +76,13 @@
 	At       time.Duration `json:"at"`
 	Duration time.Duration `json:"for"`
 	Kind     Kind          `json:"kind"`
-	// VM is the number of the VM that is harmed; -1 for all.
+	// VM is the number of the affected VM, or -1 for all VMs.
 	VM   int  `json:"vm"`
 	Side Side `json:"side,omitempty"`
 }
 
-// planned reports whether the fault is work that operators plan, around which no
-// request may be lost.
+// planned reports whether the fault is a planned operation, which must interrupt no
+// request.
 func (f *Fault) planned() bool {
 	switch f.Kind {
 	case RestartNode, ReloadNode, DrainTarget, Publish, PublishBurst:
@@ -92,11 +91,12 @@
 	return false
 }
 
-// all is the VM of faults that harm every one.
-const all = -1
+// allVMs is the VM number of faults that affect all VMs.
+const allVMs = -1
 
-// weighted kinds: what happens often in the field comes often.
-var kinds = []struct {
+// weightedKinds holds the relative frequency of each kind. Faults that are frequent
+// in production have higher weights.
+var weightedKinds = []struct {
 	kind   Kind
 	weight int
 }{
@@ -106,85 +106,85 @@
 	{BusyStore, 2}, {CompactStore, 1}, {Publish, 4}, {PublishBurst, 1},
 }
 
-// Bounds of a plan's figures.
+// Parameters of plans.
 const (
 	firstFault = time.Second
-	// calmEnd is kept free of faults but for the final one, so that the recovery
-	// is seen.
-	calmEnd    = 6 * time.Second
-	leastPause = 150 * time.Millisecond
-	mostPause  = 1600 * time.Millisecond
-	leastFor   = 300 * time.Millisecond
-	mostFor    = 3 * time.Second
-	// illServiceFor gives a service that sheds nine in ten twice the repeats that
-	// its budget allows, if nothing held them back.
-	illServiceFor = 5 * time.Second
-	seriesOf      = 3
-	// crashRequestPart is the part of plans in which callers send a request that crashes
-	// targets, for crashRequestFor.
-	crashRequestPart = 0.5
-	crashRequestFor  = 8 * time.Second
-	seriesPart       = 0.2
-	finalPart        = 0.3
-	finalBefore      = 5 * time.Second
+	// faultFreeTail is the end of a run in which no fault starts except KillAll, so
+	// that recovery can be checked.
+	faultFreeTail = 6 * time.Second
+	minPause      = 150 * time.Millisecond
+	maxPause      = 1600 * time.Millisecond
+	minDuration   = 300 * time.Millisecond
+	maxDuration   = 3 * time.Second
+	// overloadDuration is long enough that a service that sheds nine in ten requests
+	// would get twice the retries that the budget allows, if nothing limited them.
+	overloadDuration = 5 * time.Second
+	seriesLength     = 3
+	// crashRequestProbability is the probability that a plan has a crashing request,
+	// which callers send for crashRequestDuration.
+	crashRequestProbability = 0.5
+	crashRequestDuration    = 8 * time.Second
+	seriesProbability       = 0.2
+	killAllProbability      = 0.3
+	killAllLead             = 5 * time.Second
 )
 
-// MakePlan draws the faults of a run of a length over so many VMs. Faults overlap,
-// and one in five comes as a series on the same VM.
-func NewPlan(seed uint64, length time.Duration, vms int) []Fault {
+// NewPlan draws the faults of a run with the given duration and number of VMs.
+// Faults may overlap. One in five is repeated as a series on the same VM.
+func NewPlan(seed uint64, duration time.Duration, vms int) []Fault {
 	random := rand.New(rand.NewPCG(seed, 0))
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(random.Int64N(int64(most-least)))
+	randomDuration := func(low, high time.Duration) time.Duration {
+		return low + time.Duration(random.Int64N(int64(high-low)))
 	}
 	var plan []Fault
-	for at := firstFault; at < length-calmEnd; at += between(leastPause, mostPause) {
-		fault := Fault{At: at, Duration: between(leastFor, mostFor), Kind: drawKind(random), VM: random.IntN(vms)}
+	for at := firstFault; at < duration-faultFreeTail; at += randomDuration(minPause, maxPause) {
+		fault := Fault{At: at, Duration: randomDuration(minDuration, maxDuration), Kind: drawKind(random), VM: random.IntN(vms)}
 		fault.Side = sides[random.IntN(len(sides))]
 		if fault.Kind == OverloadedService {
-			fault.Duration = illServiceFor
+			fault.Duration = overloadDuration
 		}
 		plan = append(plan, fault)
-		if random.Float64() >= seriesPart {
+		if random.Float64() >= seriesProbability {
 			continue
 		}
-		for range seriesOf - 1 {
-			fault.At += between(leastPause, mostPause)
+		for range seriesLength - 1 {
+			fault.At += randomDuration(minPause, maxPause)
 			plan = append(plan, fault)
 		}
 	}
-	plan = slices.DeleteFunc(plan, func(f Fault) bool { return f.At+f.Duration > length-finalBefore })
-	if random.Float64() < finalPart {
-		plan = append(plan, Fault{At: length - finalBefore, Duration: time.Second, Kind: KillAll, VM: all})
+	plan = slices.DeleteFunc(plan, func(f Fault) bool { return f.At+f.Duration > duration-killAllLead })
+	if random.Float64() < killAllProbability {
+		plan = append(plan, Fault{At: duration - killAllLead, Duration: time.Second, Kind: KillAll, VM: allVMs})
 	}
-	plan = append(plan, drawCrashRequest(seed, length)...)
+	plan = append(plan, drawCrashRequest(seed, duration)...)
 	slices.SortStableFunc(plan, func(a, b Fault) int { return int(a.At - b.At) })
 	return plan
 }
 
-// drawCrashRequest has a random source of its own, so that the other faults of a seed stay
-// what they are.
-func drawCrashRequest(seed uint64, length time.Duration) []Fault {
+// drawCrashRequest draws the crashing request of a plan, if it has one. It uses a
+// random source of its own, so that the other faults of a seed don't depend on it.
+func drawCrashRequest(seed uint64, duration time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 2))
-	last := length - finalBefore - crashRequestFor
-	if last <= firstFault || random.Float64() >= crashRequestPart {
+	last := duration - killAllLead - crashRequestDuration
+	if last <= firstFault || random.Float64() >= crashRequestProbability {
 		return nil
 	}
 	at := firstFault + time.Duration(random.Int64N(int64(last-firstFault)))
-	return []Fault{{At: at, Duration: crashRequestFor, Kind: CrashRequest, VM: all}}
+	return []Fault{{At: at, Duration: crashRequestDuration, Kind: CrashRequest, VM: allVMs}}
 }
 
-// Only returns the faults of some kinds.
+// FilterKinds returns the faults of the given kinds.
 func FilterKinds(plan []Fault, kinds []Kind) []Fault {
 	return slices.DeleteFunc(plan, func(f Fault) bool { return !slices.Contains(kinds, f.Kind) })
 }
 
 func drawKind(random *rand.Rand) Kind {
 	total := 0
-	for _, k := range kinds {
+	for _, k := range weightedKinds {
 		total += k.weight
 	}
 	draw := random.IntN(total)
-	for _, k := range kinds {
+	for _, k := range weightedKinds {
 		if draw < k.weight {
 			return k.kind
 		}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -8,14 +8,15 @@
 	"syscall"
 )
 
-// process is a program that the soak started; it signals no other.
+// process is a program that the soak started. The soak signals no other processes.
 type process struct {
 	cmd  *exec.Cmd
 	log  *logTail
 	done chan struct{}
 }
 
-// startProcess runs a program; its output goes to the log, which outlives it.
+// startProcess starts a program and writes its output to log, which outlives the
+// process.
 func startProcess(log *logTail, env []string, program string, args ...string) (*process, error) {
 	cmd := exec.Command(program, args...)
 	cmd.Env = append(os.Environ(), env...)
@@ -25,7 +26,7 @@
 	}
 	p := &process{cmd: cmd, log: log, done: make(chan struct{})}
 	go func() {
-		// How it ended shows in its log and to its callers.
+		// The error is not needed: the log and the process state show how it ended.
 		_ = cmd.Wait()
 		close(p.done)
 	}()
@@ -36,33 +37,32 @@
 	select {
 	case <-p.done:
 	default:
-		// It may end between the look and the signal; the runtime then sends none.
+		// The process may end before the signal; the runtime then sends none.
 		_ = p.cmd.Process.Signal(s)
 	}
 }
 
-// end kills the process, also a frozen one, and waits for it.
+// end kills the process, even if it is suspended, and waits until it has ended.
 func (p *process) end() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// logTail keeps the last part of a process's output. It is safe for concurrent
-// use.
+// logTail holds the last part of a process's output. It is safe for concurrent use.
 type logTail struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// keptLog bounds what is kept of one process's output.
-const keptLog = 16 << 20
+// maxLogBytes bounds the stored output of one process.
+const maxLogBytes = 16 << 20
 
 // Write implements io.Writer.
 func (l *logTail) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.text.Len() > keptLog {
+	if l.text.Len() > maxLogBytes {
 		l.text.Next(l.text.Len() / 2)
 	}
 	return l.text.Write(p)
--- a/internal/soak/relay.go
+++ b/internal/soak/relay.go
@@ -10,51 +10,50 @@
 	"github.com/pkg/errors"
 )
 
-// Harm is what a relay does to the connections that pass it; the zero value does
-// nothing.
+// LinkFault is a fault that a relay injects into its connections. The zero value
+// injects nothing.
 type LinkFault struct {
-	// Delay is added to each piece, in both directions.
+	// Delay is added to each chunk of data, in both directions.
 	Delay time.Duration
-	// HoldForward and HoldBack keep what is sent, by the side that connects and
-	// by the other, until the harm ends.
+	// HoldForward holds back the data of the client, HoldBack that of the server,
+	// until the fault ends.
 	HoldForward, HoldBack bool
-	// Refuse resets new connections.
+	// ResetNew resets new connections.
 	ResetNew bool
 }
 
-// Relay passes connections from one address to another. It is safe for concurrent
-// use.
+// Relay is a TCP proxy from one address to another. It is safe for concurrent use.
 type Relay struct {
-	from, to string
+	listenAddress, serverAddress string
 
 	mu       sync.Mutex
 	listener net.Listener
-	// refusing says that nobody listens here since nobody does on the far side; closed
-	// that the relay has ended.
+	// refusing is set while the relay doesn't listen because the server doesn't.
+	// closed is set when the relay has been closed.
 	refusing, closed bool
-	harm             LinkFault
-	changed          chan struct{}
+	fault            LinkFault
+	faultChanged     chan struct{}
 	conns            map[net.Conn]struct{}
 }
 
-// relayDial bounds the connection to the far side, which is on this machine.
-const relayDial = time.Second
+// relayDialTimeout bounds connecting to the server, which is on this machine.
+const relayDialTimeout = time.Second
 
-// NewRelay starts passing connections on; Close ends it.
-func NewRelay(from, to string) (*Relay, error) {
-	listener, err := net.Listen("tcp", from)
+// NewRelay starts a relay. The caller must close it.
+func NewRelay(listenAddress, serverAddress string) (*Relay, error) {
+	listener, err := net.Listen("tcp", listenAddress)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{from: listener.Addr().String(), listener: listener, to: to, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	r := &Relay{listenAddress: listener.Addr().String(), listener: listener, serverAddress: serverAddress, faultChanged: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	go r.serve(listener)
 	return r, nil
 }
 
-// Address is where the relay listens.
-func (r *Relay) Address() string { return r.from }
+// Address returns the address at which the relay listens.
+func (r *Relay) Address() string { return r.listenAddress }
 
-// Close ends the relay and its connections.
+// Close closes the relay and its connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -63,13 +62,13 @@
 	r.Reset()
 }
 
-// SetHarm changes what is done to all connections from now on.
-func (r *Relay) SetFault(harm LinkFault) {
+// SetFault replaces the fault that is injected into all connections, open ones too.
+func (r *Relay) SetFault(fault LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.harm = harm
-	close(r.changed)
-	r.changed = make(chan struct{})
+	r.fault = fault
+	close(r.faultChanged)
+	r.faultChanged = make(chan struct{})
 }
 
 // Reset resets all open connections.
@@ -81,7 +80,7 @@
 	}
 }
 
-// reset closes a connection so that its other side sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -95,37 +94,37 @@
 		if err != nil {
 			return
 		}
-		if r.current().ResetNew {
+		if r.currentFault().ResetNew {
 			reset(conn)
 			continue
 		}
-		go r.pass(conn)
+		go r.handle(conn)
 	}
 }
 
-func (r *Relay) current() LinkFault {
+func (r *Relay) currentFault() LinkFault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.harm
+	return r.fault
 }
 
-// pass connects through and copies both ways.
-func (r *Relay) pass(near net.Conn) {
-	far, err := net.DialTimeout("tcp", r.to, relayDial)
+// handle connects to the server and copies data in both directions.
+func (r *Relay) handle(client net.Conn) {
+	server, err := net.DialTimeout("tcp", r.serverAddress, relayDialTimeout)
 	if err != nil {
-		r.refuseLikeFarSide(err)
-		reset(near)
+		r.stopListening(err)
+		reset(client)
 		return
 	}
-	r.keep(near, far)
-	defer r.drop(near, far)
+	r.track(client, server)
+	defer r.closeConns(client, server)
 	var copying sync.WaitGroup
-	copying.Go(func() { r.copy(far, near, func(h LinkFault) bool { return h.HoldForward }, func() {}) })
-	copying.Go(func() { r.copy(near, far, func(h LinkFault) bool { return h.HoldBack }, r.lookAtFarSide) })
+	copying.Go(func() { r.copy(server, client, func(h LinkFault) bool { return h.HoldForward }, func() {}) })
+	copying.Go(func() { r.copy(client, server, func(h LinkFault) bool { return h.HoldBack }, r.checkServer) })
 	copying.Wait()
 }
 
-func (r *Relay) keep(conns ...net.Conn) {
+func (r *Relay) track(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -133,7 +132,7 @@
 	}
 }
 
-func (r *Relay) drop(conns ...net.Conn) {
+func (r *Relay) closeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -142,21 +141,21 @@
 	}
 }
 
-// copy passes one direction on. An orderly end is passed on as one; a reset as a
-// reset, so that a cut answer can't look whole.
-// Ended is called before the end is passed on.
-func (r *Relay) copy(to, from net.Conn, held func(LinkFault) bool, ended func()) {
-	piece := make([]byte, 16<<10)
+// copy forwards one direction. It forwards an orderly close as one and a reset as a
+// reset, so that a truncated response can't look complete.
+// It calls beforeEnd before it forwards the end of the connection.
+func (r *Relay) copy(to, from net.Conn, isHeld func(LinkFault) bool, beforeEnd func()) {
+	buffer := make([]byte, 16<<10)
 	for {
-		n, err := from.Read(piece)
-		if n > 0 && !r.deliver(to, piece[:n], held) {
+		n, err := from.Read(buffer)
+		if n > 0 && !r.write(to, buffer[:n], isHeld) {
 			reset(from)
 			return
 		}
 		if err == nil {
 			continue
 		}
-		ended()
+		beforeEnd()
 		if err == io.EOF {
 			if tcp, ok := to.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite()
@@ -168,22 +167,25 @@
 	}
 }
 
-// lookAtFarSide finds out whether a connection ended because its process did.
-func (r *Relay) lookAtFarSide() {
-	far, err := net.DialTimeout("tcp", r.to, relayDial)
+// checkServer stops the relay from listening if the server doesn't listen any more.
+// It is called when a connection ends, which may be because the process ended.
+func (r *Relay) checkServer() {
+	server, err := net.DialTimeout("tcp", r.serverAddress, relayDialTimeout)
 	if err != nil {
-		r.refuseLikeFarSide(err)
+		r.stopListening(err)
 		return
 	}
-	_ = far.Close()
+	_ = server.Close()
 }
 
-// farSidePause is between two looks at a far side on which nobody listens.
-const farSidePause = 10 * time.Millisecond
+// serverPollInterval is the time between two attempts to reach a server that doesn't
+// listen.
+const serverPollInterval = 10 * time.Millisecond
 
-// refuseLikeFarSide stops listening while nobody listens on the far side, so that the near
-// one sees the refusal that it would see without a relay.
-func (r *Relay) refuseLikeFarSide(err error) {
+// stopListening stops listening while the server doesn't listen, so that clients are
+// refused as they would be without a relay. It does nothing for other errors than a
+// refused connection.
+func (r *Relay) stopListening(err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
@@ -194,30 +196,31 @@
 	}
 	r.refusing = true
 	_ = r.listener.Close()
-	go r.listenWithFarSide()
+	go r.awaitServer()
 }
 
-func (r *Relay) listenWithFarSide() {
+func (r *Relay) awaitServer() {
 	for {
-		time.Sleep(farSidePause)
-		far, err := net.DialTimeout("tcp", r.to, relayDial)
+		time.Sleep(serverPollInterval)
+		server, err := net.DialTimeout("tcp", r.serverAddress, relayDialTimeout)
 		if err == nil {
-			_ = far.Close()
+			_ = server.Close()
 		}
-		if r.listenAgain(err == nil) {
+		if r.listenIfServerUp(err == nil) {
 			return
 		}
 	}
 }
 
-// listenAgain listens if the far side does, and reports whether nothing is left to do.
-func (r *Relay) listenAgain(farListens bool) bool {
+// listenIfServerUp listens again if the server does. It reports whether the caller
+// can stop polling.
+func (r *Relay) listenIfServerUp(serverUp bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed || !farListens {
+	if r.closed || !serverUp {
 		return r.closed
 	}
-	listener, err := net.Listen("tcp", r.from)
+	listener, err := net.Listen("tcp", r.listenAddress)
 	if err != nil {
 		return false
 	}
@@ -226,19 +229,19 @@
 	return true
 }
 
-func (r *Relay) deliver(to net.Conn, piece []byte, held func(LinkFault) bool) bool {
+func (r *Relay) write(to net.Conn, data []byte, isHeld func(LinkFault) bool) bool {
 	r.mu.Lock()
-	for held(r.harm) {
-		changed := r.changed
+	for isHeld(r.fault) {
+		faultChanged := r.faultChanged
 		r.mu.Unlock()
-		<-changed
+		<-faultChanged
 		r.mu.Lock()
 	}
-	delay := r.harm.Delay
+	delay := r.fault.Delay
 	r.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(data)
 	return err == nil
 }
--- a/internal/soak/relay_test.go
+++ b/internal/soak/relay_test.go
@@ -36,7 +36,7 @@
 	return relay, conn
 }
 
-func say(t *testing.T, conn net.Conn, wait time.Duration) error {
+func roundTrip(t *testing.T, conn net.Conn, wait time.Duration) error {
 	t.Helper()
 	_, err := conn.Write([]byte("x"))
 	assert.NilError(t, err)
@@ -45,13 +45,14 @@
 	return err
 }
 
-// What a relay holds back arrives when the harm ends, and a reset is seen as one.
+// Guards against data that is lost when a relay holds it back (it must arrive when the
+// fault ends), and against a reset that the client sees as an orderly close.
 func TestRelayHarms(t *testing.T) {
 	relay, conn := echoThrough(t)
-	assert.NilError(t, say(t, conn, 5*time.Second))
-	for _, harm := range []LinkFault{{HoldForward: true}, {HoldBack: true}} {
-		relay.SetFault(harm)
-		assert.Assert(t, say(t, conn, 50*time.Millisecond) != nil, "%v", harm)
+	assert.NilError(t, roundTrip(t, conn, 5*time.Second))
+	for _, fault := range []LinkFault{{HoldForward: true}, {HoldBack: true}} {
+		relay.SetFault(fault)
+		assert.Assert(t, roundTrip(t, conn, 50*time.Millisecond) != nil, "%v", fault)
 		relay.SetFault(LinkFault{})
 		assert.NilError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
 		_, err := conn.Read(make([]byte, 1))
@@ -63,21 +64,22 @@
 	assert.ErrorContains(t, err, "reset")
 }
 
-// The far side of a relay ends. Who connects to the relay is refused, as it would be
-// without one, from the moment at which open connections end, and until it is back.
+// The server of a relay ends. Guards against a relay that still accepts connections:
+// clients must be refused, as they would be without a relay, from the moment at which
+// open connections end until the server is back.
 func TestRelayRefusesLikeItsFarSide(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	relay, err := NewRelay("127.0.0.1:0", server.Addr().String())
 	assert.NilError(t, err)
 	t.Cleanup(relay.Close)
-	near, err := net.Dial("tcp", relay.Address())
+	client, err := net.Dial("tcp", relay.Address())
 	assert.NilError(t, err)
-	far, err := server.Accept()
+	serverConn, err := server.Accept()
 	assert.NilError(t, err)
 	assert.NilError(t, server.Close())
-	assert.NilError(t, far.Close())
-	_, err = near.Read(make([]byte, 1))
+	assert.NilError(t, serverConn.Close())
+	_, err = client.Read(make([]byte, 1))
 	assert.Equal(t, err, io.EOF)
 	_, err = net.Dial("tcp", relay.Address())
 	assert.Assert(t, errors.Is(err, syscall.ECONNREFUSED), "%v", err)
@@ -86,11 +88,11 @@
 	assert.NilError(t, err)
 	defer server.Close()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		again, err := net.Dial("tcp", relay.Address())
+		conn, err := net.Dial("tcp", relay.Address())
 		if err != nil {
 			return poll.Continue("%v", err)
 		}
-		again.Close()
+		conn.Close()
 		return poll.Success()
 	})
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -12,34 +12,34 @@
 	"tamarackquay/internal/wait"
 )
 
-// Options are those of one run.
+// Options configures one run.
 type Options struct {
 	Programs Programs
 	Seed     uint64
-	// Length is for how long callers send, VMs how many nodes there are.
+	// Duration is how long callers send requests, VMs the number of VMs.
 	Duration time.Duration
 	VMs      int
-	// Kinds are the faults of the plan that are carried out; all without any.
+	// Kinds limits the plan to these kinds of faults. Empty means all.
 	Kinds []Kind
-	// Net16 is the second number of the loopback addresses that the run uses.
+	// SecondOctet is the second octet of the run's loopback addresses.
 	SecondOctet int
-	// Keep is where the history and the logs of a run with findings go; empty for
-	// nowhere.
+	// KeepDir is the folder for the history and the logs of a run with findings.
+	// Empty means that they aren't saved.
 	KeepDir string
 }
 
-// Result is what came of one run.
+// Result is the result of one run.
 type Result struct {
 	Seed     uint64          `json:"seed"`
 	Plan     []Fault         `json:"plan"`
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Crashes counts the targets that a request crashed.
+	// Crashes is the number of targets that requests crashed.
 	Crashes  int       `json:"crashes"`
 	Findings []Finding `json:"findings"`
 }
 
-// Run plays one seed. The error is for runs that could not be made; broken
-// promises stand in the result.
+// Run runs one seed. It returns an error only if the run could not be completed;
+// broken promises are reported in the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	dir, err := os.MkdirTemp("", "tamaracksoak")
 	if err != nil {
@@ -57,16 +57,16 @@
 	if len(o.Kinds) > 0 {
 		plan = FilterKinds(plan, o.Kinds)
 	}
-	records, err := f.play(ctx, o, plan)
+	records, err := f.run(ctx, o, plan)
 	if err != nil {
-		// A fleet that doesn't come back is a finding, too.
-		if keepErr := f.keepLogs(o); keepErr != nil {
-			err = errors.WithMessage(err, keepErr.Error())
+		// A fleet that doesn't recover is a finding as well, so save the logs.
+		if saveErr := f.saveLogs(o); saveErr != nil {
+			err = errors.WithMessage(err, saveErr.Error())
 		}
 		return nil, errors.Wrapf(err, "seed %d", o.Seed)
 	}
 	if ctx.Err() != nil {
-		// Half a run proves nothing.
+		// An aborted run has no valid result.
 		return nil, ctx.Err()
 	}
 	history, err := f.history(records)
@@ -85,28 +85,29 @@
 	if len(result.Findings) == 0 {
 		return result, nil
 	}
-	return result, f.keep(o, history)
+	return result, f.saveRun(o, history)
 }
 
-// play sends the load and carries out the plan beside it.
-func (f *fleet) play(ctx context.Context, o Options, plan []Fault) ([]Record, error) {
-	b := f.book
+// run sends the load and injects the faults of the plan at the same time.
+func (f *fleet) run(ctx context.Context, o Options, plan []Fault) ([]Record, error) {
+	rec := f.recorder
 	loadCtx, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
-	var loading sync.WaitGroup
-	loading.Go(func() { f.load(loadCtx, o.Seed, b) })
+	var callers sync.WaitGroup
+	callers.Go(func() { f.runCallers(loadCtx, o.Seed, rec) })
 	err := f.inject(loadCtx, plan)
 	if err != nil {
 		stop()
 	}
-	loading.Wait()
-	// What a frozen or cut node still does for callers that have gone is seen too.
-	wait.Sleep(ctx, stability/2)
-	return b.records, err
+	callers.Wait()
+	// Requests that a suspended or partitioned node still runs for disconnected
+	// callers must be in the history too.
+	wait.Sleep(ctx, stabilityWindow/2)
+	return rec.records, err
 }
 
 func (f *fleet) history(records []Record) (*History, error) {
-	entries, err := f.ledgers()
+	entries, err := f.readLedgers()
 	if err != nil {
 		return nil, err
 	}
@@ -114,8 +115,8 @@
 	for _, m := range f.vms {
 		h.Services = append(h.Services, m.service)
 	}
-	for i, instance := range f.started {
-		h.Targets[instance.name] = f.started[i].vm
+	for i, instance := range f.instances {
+		h.Targets[instance.name] = f.instances[i].vm
 	}
 	slices.SortFunc(h.Events, func(a, b Event) int { return int(a.Begin - b.Begin) })
 	return h, nil
