--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -18,31 +18,33 @@
 	"tamarackquay/internal/adapter/callhttp"
 )
 
-// archiveNames is how many different archives are asked for: enough that an
-// answer that got to the wrong caller shows, few enough to know all digests.
-const archiveNames = 16
+// numArchives is the number of different archives: enough to detect a response that
+// reached the wrong caller, few enough to compute all digests.
+const numArchives = 16
 
-// dialTimeout bounds a new connection on loopback.
+// dialTimeout bounds opening a connection on loopback.
 const dialTimeout = 2 * time.Second
 
-// echoHeader is given back by the target in the answer to a reading.
+// echoHeader is the request header that the target returns in the response to a
+// tally.
 const echoHeader = "Echo"
 
-// HTTPCaller makes calls over HTTP and checks every answer: a tally against its
-// own echo, a return against the digest of what was filed, an archive against
-// its digest. It is safe for concurrent use.
+// HTTPCaller makes calls over HTTP and checks every response: a tally against its
+// own echo, a return against the digest of the request body, an archive against
+// the archive's digest. It is safe for concurrent use.
 type HTTPCaller struct {
 	client       *http.Client
 	token        string
 	archiveBytes int64
-	// digest gives the hex SHA-256 of an archive.
+	// digest returns the hex SHA-256 of an archive.
 	digest func(path string, size int64) string
 
 	mu      sync.Mutex
 	digests map[string]string
 }
 
-// NewHTTPCaller returns a caller for the run.
+// NewHTTPCaller returns a caller for a run; digest returns the hex SHA-256 of an
+// archive.
 func NewHTTPCaller(config Config, digest func(path string, size int64) string) *HTTPCaller {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -55,18 +57,18 @@
 	}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *HTTPCaller) Close() { c.client.CloseIdleConnections() }
 
 // Do implements Caller.
 func (c *HTTPCaller) Do(ctx context.Context, call Call) Outcome {
-	request, check, err := c.request(ctx, call)
+	request, check, err := c.newRequest(ctx, call)
 	if err != nil {
 		return Unreachable
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return failedContact(err)
+		return errorOutcome(err)
 	}
 	defer response.Body.Close()
 	switch response.Header.Get(callhttp.HeaderOutcome) {
@@ -81,9 +83,9 @@
 	return check(response.Body)
 }
 
-// failedContact tells a connection that could not be made, on which nothing was
-// sent, from one that broke.
-func failedContact(err error) Outcome {
+// errorOutcome returns the outcome of a request without a response: Unreachable if no
+// connection could be opened, so that nothing was sent, and Broken otherwise.
+func errorOutcome(err error) Outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return Unreachable
@@ -91,19 +93,19 @@
 	return Broken
 }
 
-// check reads an answer to its end and judges it.
-type check func(body io.Reader) Outcome
+// checkFunc reads a response body to its end and returns the outcome.
+type checkFunc func(body io.Reader) Outcome
 
-func (c *HTTPCaller) request(ctx context.Context, call Call) (*http.Request, check, error) {
+func (c *HTTPCaller) newRequest(ctx context.Context, call Call) (*http.Request, checkFunc, error) {
 	id := fmt.Sprintf("call-%d", call.Number)
-	method, path, body, judge := http.MethodGet, "/tallies/"+id, "", echoOf(id)
+	method, path, body, check := http.MethodGet, "/tallies/"+id, "", checkEcho(id)
 	switch call.Kind {
 	case Return:
 		body = "signed survey return " + id
-		method, path, judge = http.MethodPost, "/returns/"+id, receiptOf(body)
+		method, path, check = http.MethodPost, "/returns/"+id, checkReceipt(body)
 	case Archive:
-		name := fmt.Sprintf("/archive/log-%d", call.Number%archiveNames)
-		path, judge = fmt.Sprintf("%s?bytes=%d", name, c.archiveBytes), digestOf(c.archiveDigest(name))
+		name := fmt.Sprintf("/archive/log-%d", call.Number%numArchives)
+		path, check = fmt.Sprintf("%s?bytes=%d", name, c.archiveBytes), checkDigest(c.archiveDigest(name))
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+call.Entry+path, strings.NewReader(body))
 	if err != nil {
@@ -111,10 +113,10 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+c.token)
 	request.Header.Set(echoHeader, id)
-	return request, judge, nil
+	return request, check, nil
 }
 
-// archiveDigest works each digest out once.
+// archiveDigest returns the digest of an archive, computed once for each archive.
 func (c *HTTPCaller) archiveDigest(name string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,40 +126,40 @@
 	return c.digests[name]
 }
 
-func echoOf(id string) check {
+func checkEcho(id string) checkFunc {
 	return func(body io.Reader) Outcome {
-		var answer struct {
+		var response struct {
 			Echo string `json:"echo"`
 		}
-		return judgeJSON(body, &answer, func() bool { return answer.Echo == id })
+		return checkJSON(body, &response, func() bool { return response.Echo == id })
 	}
 }
 
-func receiptOf(filed string) check {
+func checkReceipt(filed string) checkFunc {
 	digest := sha256.Sum256([]byte(filed))
 	return func(body io.Reader) Outcome {
-		var answer struct {
+		var response struct {
 			SHA256 string `json:"sha256"`
 		}
-		return judgeJSON(body, &answer, func() bool { return answer.SHA256 == hex.EncodeToString(digest[:]) })
+		return checkJSON(body, &response, func() bool { return response.SHA256 == hex.EncodeToString(digest[:]) })
 	}
 }
 
-// maxSmallAnswer bounds answers that are not archives.
-const maxSmallAnswer = 1 << 20
+// maxSmallResponse bounds the body of a response that is not an archive.
+const maxSmallResponse = 1 << 20
 
-func judgeJSON(body io.Reader, answer any, right func() bool) Outcome {
-	raw, err := io.ReadAll(io.LimitReader(body, maxSmallAnswer))
+func checkJSON(body io.Reader, response any, valid func() bool) Outcome {
+	raw, err := io.ReadAll(io.LimitReader(body, maxSmallResponse))
 	if err != nil {
 		return Broken
 	}
-	if json.Unmarshal(raw, answer) != nil || !right() {
+	if json.Unmarshal(raw, response) != nil || !valid() {
 		return Wrong
 	}
 	return Answered
 }
 
-func digestOf(want string) check {
+func checkDigest(want string) checkFunc {
 	return func(body io.Reader) Outcome {
 		digest := sha256.New()
 		if _, err := io.Copy(digest, body); err != nil {
--- a/internal/load/cli/cli.go
+++ b/internal/load/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of tamarackload: bounded load on loopback,
-// paired runs, and experiments on virtual time.
+// Package cli implements the command line of tamarackload: bounded load on loopback,
+// paired runs, and experiments in virtual time.
 package cli
 
 import (
@@ -18,22 +18,22 @@
 	"tamarackquay/internal/report"
 )
 
-// Wiring is what the program hands to its command line.
+// Dependencies are provided to the command line by the program.
 type Dependencies struct {
-	// Digest gives the hex SHA-256 of an archive by its path and size, as the
-	// targets under load make them.
+	// Digest returns the hex SHA-256 of an archive, given its path and size. It must
+	// match the archives that the targets under load generate.
 	Digest      func(path string, size int64) string
 	Experiments []experiment.Experiment
 }
 
-// New returns the whole command line.
+// New returns the root command of tamarackload.
 func New(wiring Dependencies) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "tamarackload",
-		Short: "Put a bounded load on entry nodes of this machine, and run experiments",
-		Long: "Put a bounded open-loop load on entry nodes of this machine, and run experiments on virtual time.\n\n" +
-			"Waits are counted from the time at which a call was meant to be sent. Every answer is checked. " +
-			"Addresses off loopback are refused.\nExit codes: 0 fine, 1 a wrong answer was seen, 2 wrong usage.",
+		Short: "Send a bounded load to entry nodes on this machine, and run experiments",
+		Long: "Send a bounded open-loop load to entry nodes on this machine, and run experiments in virtual time.\n\n" +
+			"Latency is measured from the scheduled time of a call. Every response is checked. " +
+			"Only loopback addresses are accepted.\nExit codes: 0 success, 1 a wrong response was received, 2 any other error.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -41,29 +41,29 @@
 	return root
 }
 
-// ErrWrongAnswer ends a run in which a caller got a whole answer that was not
-// the answer to its call.
-var ErrWrongAnswer = errors.New("a wrong answer was seen")
+// ErrWrongResponse is returned for a run in which a caller received a complete response
+// that did not belong to its call.
+var ErrWrongResponse = errors.New("a wrong response was received")
 
 // Exit codes of tamarackload.
 const (
-	ExitFine  = 0
-	ExitWrong = 1
-	ExitUsage = 2
+	ExitOK            = 0
+	ExitWrongResponse = 1
+	ExitError         = 2
 )
 
-// ExitCode is the exit code that a command's error stands for.
+// ExitCode returns the exit code for a command's error.
 func ExitCode(err error) int {
 	switch {
 	case err == nil:
-		return ExitFine
-	case errors.Is(err, ErrWrongAnswer):
-		return ExitWrong
+		return ExitOK
+	case errors.Is(err, ErrWrongResponse):
+		return ExitWrongResponse
 	}
-	return ExitUsage
+	return ExitError
 }
 
-// flags are those of run and pair alike.
+// flags are the flags that run and pair share.
 type flags struct {
 	config  load.Config
 	mix     string
@@ -74,21 +74,21 @@
 
 func (f *flags) declare(c *cobra.Command) {
 	set := c.Flags()
-	set.StringVar(&f.config.Token, "token", "", "the callers' token")
-	set.Float64Var(&f.config.Rate, "rate", 100, "calls a second")
+	set.StringVar(&f.config.Token, "token", "", "token of the callers")
+	set.Float64Var(&f.config.Rate, "rate", 100, "calls per second")
 	set.DurationVar(&f.config.Duration, "duration", 10*time.Second, "how long calls are sent and counted")
-	set.DurationVar(&f.config.WarmUp, "warm-up", 2*time.Second, "how long calls are sent before they count")
-	set.IntVar(&f.config.InFlight, "in-flight", 512, "calls that may be open at a time; more are counted as not sent")
+	set.DurationVar(&f.config.WarmUp, "warm-up", 2*time.Second, "how long calls are sent before they are counted")
+	set.IntVar(&f.config.InFlight, "in-flight", 512, "maximum calls in flight; calls above it are counted as not sent")
 	set.StringVar(&f.mix, "mix", "tally=90,return=8,archive=2", "weights of the kinds of calls")
 	set.Int64Var(&f.config.ArchiveBytes, "archive-bytes", 1<<20, "size of one archive")
-	set.DurationVar(&f.config.Timeout, "timeout", 30*time.Second, "when a call is given up")
-	set.Uint64Var(&f.config.Seed, "seed", 1, "starts the choice of calls")
-	set.StringArrayVar(&f.signals, "signal", nil, "PID:NAME@TIME, a signal to a process that you started, for example 4711:KILL@2s")
+	set.DurationVar(&f.config.Timeout, "timeout", 30*time.Second, "timeout of a call")
+	set.Uint64Var(&f.config.Seed, "seed", 1, "seed of the random choice of calls")
+	set.StringArrayVar(&f.signals, "signal", nil, "PID:NAME@TIME, a signal to send to a process that you started, for example 4711:KILL@2s")
 	set.StringVar(&f.json, "json", "", "file to write the report to as JSON")
-	set.StringVar(&f.svg, "svg", "", "file to write a plot of the waits to")
+	set.StringVar(&f.svg, "svg", "", "file to write a plot of the latencies to")
 }
 
-// finish reads the flags that are written as text.
+// finish parses the flags that are given as text.
 func (f *flags) finish() error {
 	mix, err := load.ParseMix(f.mix)
 	if err != nil {
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// write puts the report where the flags say and judges it.
+// write writes the report to the outputs that the flags select, and returns
+// ErrWrongResponse if it has a wrong response.
 func (f *flags) write(c *cobra.Command, r *report.Report) error {
 	r.Text(c.OutOrStdout())
 	if err := toFile(f.json, r.JSON); err != nil {
@@ -117,7 +118,7 @@
 	for i := range r.Runs {
 		for _, kind := range r.Runs[i].Kinds {
 			if n := kind.Outcomes[string(load.Wrong)]; n > 0 {
-				return errors.Wrapf(ErrWrongAnswer, "%s %s: %d", r.Runs[i].Name, kind.Name, n)
+				return errors.Wrapf(ErrWrongResponse, "%s %s: %d", r.Runs[i].Name, kind.Name, n)
 			}
 		}
 	}
@@ -139,7 +140,7 @@
 	return file.Close()
 }
 
-// commandLine is the command as typed, for the report, without the token.
+// commandLine returns the command with its flags for the report, without the token.
 func commandLine(c *cobra.Command, args []string) string {
 	parts := append([]string{c.CommandPath()}, args...)
 	c.Flags().Visit(func(flag *pflag.Flag) {
--- a/internal/load/cli/experiment.go
+++ b/internal/load/cli/experiment.go
@@ -14,9 +14,9 @@
 	var options experiment.Options
 	c := &cobra.Command{
 		Use:   "experiment [NAME]",
-		Short: "List experiments, or run one on virtual time",
-		Long: "List experiments, or run one. An experiment runs inside this process on virtual time: " +
-			"equal seeds give equal figures on every machine.",
+		Short: "List experiments, or run one in virtual time",
+		Long: "List experiments, or run one. An experiment runs inside this process in virtual time: " +
+			"equal seeds give equal results on every machine.",
 		Example:   "  tamarackload experiment",
 		Args:      cobra.MaximumNArgs(1),
 		ValidArgs: names(experiments),
@@ -29,13 +29,13 @@
 			}
 			index := slices.Index(names(experiments), args[0])
 			if index < 0 {
-				return errors.Errorf("there is no experiment %q; run 'tamarackload experiment' for the list", args[0])
+				return errors.Errorf("unknown experiment %q; run 'tamarackload experiment' for the list", args[0])
 			}
 			return experiments[index].Run(c.Context(), c.OutOrStdout(), options)
 		},
 	}
-	c.Flags().Uint64Var(&options.Seed, "seed", 1, "starts all random numbers")
-	c.Flags().BoolVar(&options.Quick, "quick", false, "fewer or smaller cases, for a few seconds")
+	c.Flags().Uint64Var(&options.Seed, "seed", 1, "seed of all random numbers")
+	c.Flags().BoolVar(&options.Quick, "quick", false, "run fewer or smaller cases, which takes a few seconds")
 	return c
 }
 
--- a/internal/load/cli/run.go
+++ b/internal/load/cli/run.go
@@ -15,7 +15,7 @@
 	var f flags
 	c := &cobra.Command{
 		Use:     "run ENTRY...",
-		Short:   "Send one bounded load through entry nodes",
+		Short:   "Send a bounded load through entry nodes",
 		Example: "  tamarackload run 127.0.0.1:8300 --token coop-token --rate 200 --duration 5s --svg waits.svg",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -42,14 +42,14 @@
 	return run, err
 }
 
-// pairFlags are pair's own.
+// pairFlags are the flags of pair.
 type pairFlags struct {
 	flags
 	a, b   []string
 	rounds int
 }
 
-// maxRounds bounds a pair.
+// maxRounds bounds the rounds of a paired run.
 const maxRounds = 50
 
 func newPair(wiring Dependencies) *cobra.Command {
@@ -57,8 +57,8 @@
 	c := &cobra.Command{
 		Use:   "pair --a ENTRY --b ENTRY",
 		Short: "Send the same load to two sides in turn and compare them",
-		Long: "Send the same load, with the same seed, to side A and side B in turn. The ratio of two runs that follow " +
-			"each other is steadier on a busy machine than either figure.",
+		Long: "Send the same load, with the same seed, to side A and side B in turn. On a busy machine, the ratio of two " +
+			"consecutive runs varies less than the results of either run.",
 		Example: "  tamarackload pair --a 127.0.0.1:8300 --b 127.0.0.1:8310 --rounds 5 --duration 2s --token coop-token",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -74,7 +74,7 @@
 	f.declare(c)
 	c.Flags().StringSliceVar(&f.a, "a", nil, "entry addresses of side A")
 	c.Flags().StringSliceVar(&f.b, "b", nil, "entry addresses of side B")
-	c.Flags().IntVar(&f.rounds, "rounds", 5, "how often each side runs")
+	c.Flags().IntVar(&f.rounds, "rounds", 5, "number of runs of each side")
 	return c
 }
 
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -1,7 +1,7 @@
-// Package load sends a bounded open-loop load of the brief's services to entry
-// nodes and checks every answer. Calls are sent at intended times that no slow
-// answer moves, and waits are counted from those times, so that a stall of the
-// system shows in the figures in full (no coordinated omission).
+// Package load sends a bounded open-loop load of the users' services to entry nodes
+// and checks every response. Calls are sent at scheduled times, which slow responses
+// don't delay, and latency is measured from those times. A stall of the system
+// therefore shows fully in the results (no coordinated omission).
 package load
 
 import (
@@ -11,54 +11,54 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of one run: a mistake on the command line must not become a load that
-// a machine can't end.
+// Limits of one run, so that a mistake on the command line doesn't start a load that
+// the machine can't finish.
 const (
 	MaxRate     = 20_000
 	MaxDuration = 10 * time.Minute
 	MaxCalls    = 1_000_000
 	MaxInFlight = 4096
-	// MaxArchiveBytes bounds one archive.
+	// MaxArchiveBytes bounds the size of one archive.
 	MaxArchiveBytes = 1 << 30
 )
 
-// Config is one run.
+// Config configures one run.
 type Config struct {
-	// Entries are callers' addresses (IP:PORT), used in turn. Only loopback
-	// addresses are taken.
+	// Entries are the caller addresses (IP:PORT) of entry nodes, used in turn. Only
+	// loopback addresses are accepted.
 	Entries []string
 	Token   string
 	// Rate is in calls per second.
 	Rate float64
-	// WarmUp is sent before Duration and not counted.
+	// WarmUp is the time before Duration in which calls are sent but not counted.
 	WarmUp   time.Duration
 	Duration time.Duration
-	// InFlight bounds the calls that are open at a time. A call that finds no
-	// room is counted as not sent rather than sent late.
+	// InFlight bounds the calls in flight. A call over this bound is counted as not
+	// sent rather than sent late.
 	InFlight int
 	Mix      Mix
 	// ArchiveBytes is the size of one archive.
 	ArchiveBytes int64
-	// Timeout ends a call.
+	// Timeout bounds one call.
 	Timeout time.Duration
-	// Seed starts the choice of calls.
+	// Seed is the seed of the random choice of calls.
 	Seed    uint64
 	Signals []Signal
 }
 
-// Check returns the first reason why the run must not start.
+// Check returns an error if the run must not start.
 func (c *Config) Check() error {
 	switch {
 	case len(c.Entries) == 0:
-		return errors.New("name at least one entry address")
+		return errors.New("at least one entry address is required")
 	case !(c.Rate > 0 && c.Rate <= MaxRate):
 		return errors.Errorf("rate must be above 0 and at most %d calls a second", MaxRate)
 	case c.Duration <= 0 || c.WarmUp < 0 || c.WarmUp+c.Duration > MaxDuration:
 		return errors.Errorf("warm-up and duration together must be above 0 and at most %s", MaxDuration)
-	case c.calls() > MaxCalls:
-		return errors.Errorf("%d calls are over the bound of %d; lower the rate or the duration", c.calls(), MaxCalls)
+	case c.totalCalls() > MaxCalls:
+		return errors.Errorf("%d calls exceed the limit of %d; lower the rate or the duration", c.totalCalls(), MaxCalls)
 	case c.InFlight < 1 || c.InFlight > MaxInFlight:
-		return errors.Errorf("in flight must be 1 to %d", MaxInFlight)
+		return errors.Errorf("calls in flight must be 1 to %d", MaxInFlight)
 	case c.ArchiveBytes < 1 || c.ArchiveBytes > MaxArchiveBytes:
 		return errors.Errorf("an archive must have 1 to %d bytes", MaxArchiveBytes)
 	case c.Timeout <= 0:
@@ -74,24 +74,24 @@
 	return nil
 }
 
-// calls is the number of calls with the warm-up.
-func (c *Config) calls() int {
+// totalCalls returns the number of calls, including the warm-up.
+func (c *Config) totalCalls() int {
 	return int(c.Rate * (c.WarmUp + c.Duration).Seconds())
 }
 
-// interval is the time between two intended sends.
+// interval returns the time between two scheduled calls.
 func (c *Config) interval() time.Duration {
 	return time.Duration(float64(time.Second) / c.Rate)
 }
 
-// CheckLoopback refuses every address that is not on this machine.
+// CheckLoopback returns an error if the address is not a loopback address.
 func CheckLoopback(address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return errors.Errorf("%q is no address; write IP:PORT", address)
+		return errors.Errorf("%q is not an address; write IP:PORT", address)
 	}
 	if !parsed.Addr().Unmap().IsLoopback() {
-		return errors.Errorf("%s is not a loopback address; load goes to this machine only", address)
+		return errors.Errorf("%s is not a loopback address; load is sent to this machine only", address)
 	}
 	return nil
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -25,9 +25,9 @@
 
 func (f callerFunc) Do(ctx context.Context, call Call) Outcome { return f(ctx, call) }
 
-// The system answers at once but for a stall of one second. A generator that
-// waits for each answer before it sends the next would see one slow call of
-// 300; callers who arrive on their own time see a hundred of them.
+// Guards against coordinated omission. The system responds at once, except for a stall
+// of one second. A closed-loop generator, which waits for each response before it sends
+// the next call, would record one slow call of 300; an open-loop one records a hundred.
 func TestStallShowsInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -51,8 +51,8 @@
 	})
 }
 
-// Nothing answers. The calls past the bound are counted, neither sent late nor
-// forgotten, and the run ends by the timeouts.
+// No call gets a response. Guards against calls over the in-flight bound that are sent
+// late or not counted, and against a run that does not end after the timeouts.
 func TestCallsPastTheBoundAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig()
@@ -82,15 +82,15 @@
 		edit func(*Config)
 		want string
 	}{
-		{"as it should be", func(*Config) {}, ""},
+		{"valid", func(*Config) {}, ""},
 		{"IPv6 loopback", func(c *Config) { c.Entries = []string{"[::1]:80"} }, ""},
 		{"another machine", func(c *Config) { c.Entries = []string{"10.0.0.1:80"} }, "not a loopback address"},
-		{"any address", func(c *Config) { c.Entries = []string{"0.0.0.0:80"} }, "not a loopback address"},
-		{"a name", func(c *Config) { c.Entries = []string{"localhost:80"} }, "no address"},
-		{"too fast", func(c *Config) { c.Rate = 1e9 }, "rate"},
+		{"unspecified address", func(c *Config) { c.Entries = []string{"0.0.0.0:80"} }, "not a loopback address"},
+		{"host name", func(c *Config) { c.Entries = []string{"localhost:80"} }, "not an address"},
+		{"rate too high", func(c *Config) { c.Rate = 1e9 }, "rate"},
 		{"no rate", func(c *Config) { c.Rate = 0 }, "rate"},
-		{"too long", func(c *Config) { c.Duration = time.Hour }, "duration"},
-		{"too many", func(c *Config) { c.Rate, c.Duration = MaxRate, MaxDuration }, "calls"},
+		{"duration too long", func(c *Config) { c.Duration = time.Hour }, "duration"},
+		{"too many calls", func(c *Config) { c.Rate, c.Duration = MaxRate, MaxDuration }, "calls"},
 		{"no mix", func(c *Config) { c.Mix = nil }, "mix"},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
@@ -117,22 +117,21 @@
 	assert.Error(t, child.Wait(), "signal: killed")
 }
 
-// Each way in which an answer can fail is told apart: an answer meant for
-// another caller is the one that must never happen, so it must not hide among
-// the broken ones.
-func TestAnswersAreJudged(t *testing.T) {
+// Guards against outcomes that are confused with each other. A response that belongs to
+// another caller must never occur, so it must not be counted as a broken one.
+func TestResponseOutcomes(t *testing.T) {
 	for _, test := range []struct {
-		desc   string
-		kind   Kind
-		answer func(w http.ResponseWriter, r *http.Request)
-		want   Outcome
+		desc    string
+		kind    Kind
+		respond func(w http.ResponseWriter, r *http.Request)
+		want    Outcome
 	}{
 		{"own echo", Tally, func(w http.ResponseWriter, r *http.Request) {
 			io.WriteString(w, `{"echo":"`+r.Header.Get("Echo")+`"}`)
 		}, Answered},
 		{"echo of another call", Tally, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"echo":"call-8"}`) }, Wrong},
 		{"receipt of another return", Return, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"sha256":"00"}`) }, Wrong},
-		{"whole archive", Archive, func(w http.ResponseWriter, _ *http.Request) {
+		{"complete archive", Archive, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "3")
 			io.WriteString(w, "abc")
 		}, Answered},
@@ -154,7 +153,7 @@
 		{"connection cut", Tally, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, Broken},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			server := httptest.NewServer(http.HandlerFunc(test.answer))
+			server := httptest.NewServer(http.HandlerFunc(test.respond))
 			defer server.Close()
 			// The digest of "abc".
 			const digest = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -7,26 +7,26 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is one of the brief's sorts of request.
+// Kind is a kind of request.
 type Kind string
 
 // The kinds.
 const (
-	// Tally is a small idempotent reading.
+	// Tally is a small idempotent read.
 	Tally Kind = "tally"
-	// Return is a filing that must run at most once.
+	// Return files a survey return. It is not idempotent and must run at most once.
 	Return Kind = "return"
-	// Archive is a large download that must arrive whole.
+	// Archive is a large download that must arrive complete.
 	Archive Kind = "archive"
 )
 
-// Kinds lists all kinds in the order of reports.
+// Kinds lists all kinds in the order in which they are reported.
 var Kinds = []Kind{Tally, Return, Archive}
 
-// Mix gives each kind its weight.
+// Mix maps each kind to its weight.
 type Mix map[Kind]int
 
-// ParseMix reads "tally=90,return=8,archive=2".
+// ParseMix parses a mix such as "tally=90,return=8,archive=2".
 func ParseMix(text string) (Mix, error) {
 	mix := Mix{}
 	for part := range strings.SplitSeq(text, ",") {
--- a/internal/load/outcome.go
+++ b/internal/load/outcome.go
@@ -1,30 +1,31 @@
 package load
 
-// Outcome is what a caller knows of a call once it is over. Refusals are told
-// apart by their reason: "refused:queue-full".
+// Outcome is the result of a call as its caller observed it. A refusal includes its
+// reason: "refused:queue-full".
 type Outcome string
 
 // The outcomes besides refusals.
 const (
-	// Answered: whole, and the answer to this call.
+	// Answered is a complete response to this call.
 	Answered Outcome = "answered"
-	// Unknown: the system said that it does not know whether the call ran.
+	// Unknown is a response that it is not known whether the call ran.
 	Unknown Outcome = "unknown"
-	// Broken: the connection or the body broke; the caller sees that.
+	// Broken is a connection or body that ended early, with an error at the caller.
 	Broken Outcome = "broken"
-	// Wrong: a whole answer that is not the answer to this call. It must never
-	// happen.
+	// Wrong is a complete response that does not belong to this call. It must never
+	// occur.
 	Wrong Outcome = "wrong-answer"
-	// NoContact: the entry node could not be reached, so nothing was sent.
+	// Unreachable means that no connection to the entry node could be opened, so that
+	// nothing was sent.
 	Unreachable Outcome = "no-contact"
-	// Failed: the target answered with an error status.
+	// Failed is an error status from the target.
 	Failed Outcome = "target-failed"
-	// NotSent: the generator had too many calls open.
+	// NotSent means that the generator had too many calls in flight.
 	NotSent Outcome = "not-sent"
 )
 
-// refusedPrefix begins the outcome of a refusal.
+// refusedPrefix is the prefix of the outcomes of refusals.
 const refusedPrefix = "refused:"
 
-// Refused is the outcome of a refusal with a reason.
+// Refused returns the outcome of a refusal with the given reason.
 func Refused(reason string) Outcome { return Outcome(refusedPrefix + reason) }
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -9,51 +9,52 @@
 	"tamarackquay/internal/report"
 )
 
-// Histograms hold 1 microsecond to 10 minutes at three significant digits.
+// Histograms range from 1 microsecond to 10 minutes, with three significant digits.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(MaxDuration / time.Microsecond)
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = int64(MaxDuration / time.Microsecond)
+	significantDigits = 3
 )
 
-// recorder keeps what came of calls. It is safe for concurrent use.
+// recorder collects the outcomes and latencies of calls. It is safe for concurrent
+// use.
 type recorder struct {
 	mu       sync.Mutex
-	kinds    map[Kind]*tally
+	kinds    map[Kind]*kindStats
 	lateness *hdrhistogram.Histogram
 }
 
-type tally struct {
-	outcomes map[Outcome]int
-	answered *hdrhistogram.Histogram
+type kindStats struct {
+	outcomes  map[Outcome]int
+	latencies *hdrhistogram.Histogram
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestMicros, highestMicros, digits)
+	return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 }
 
 func newRecorder() *recorder {
-	return &recorder{kinds: map[Kind]*tally{}, lateness: newHistogram()}
+	return &recorder{kinds: map[Kind]*kindStats{}, lateness: newHistogram()}
 }
 
-// add notes a call that is over; only answered calls have a wait that means
-// something.
+// add records a completed call. Latency is recorded for answered calls only, because
+// it is meaningless for others.
 func (r *recorder) add(kind Kind, outcome Outcome, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	of := r.kinds[kind]
-	if of == nil {
-		of = &tally{outcomes: map[Outcome]int{}, answered: newHistogram()}
-		r.kinds[kind] = of
+	stats := r.kinds[kind]
+	if stats == nil {
+		stats = &kindStats{outcomes: map[Outcome]int{}, latencies: newHistogram()}
+		r.kinds[kind] = stats
 	}
-	of.outcomes[outcome]++
+	stats.outcomes[outcome]++
 	if outcome == Answered {
-		record(of.answered, took)
+		record(stats.latencies, took)
 	}
 }
 
-// late notes how long after its intended time a call was sent.
-func (r *recorder) late(by time.Duration) {
+// addDelay records how long after its scheduled time a call was sent.
+func (r *recorder) addDelay(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record(r.lateness, by)
@@ -61,23 +62,23 @@
 
 func record(histogram *hdrhistogram.Histogram, took time.Duration) {
 	micros := min(max(took.Microseconds(), lowestMicros), highestMicros)
-	// The value is within the histogram's bounds, so recording can't fail.
+	// The value is within the histogram's range, so recording can't fail.
 	_ = histogram.RecordValue(micros)
 }
 
-// result renders everything noted so far.
+// result returns the results recorded so far.
 func (r *recorder) result() report.Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run := report.Run{Lateness: report.QuantilesOf(r.lateness)}
 	for _, kind := range Kinds {
-		of := r.kinds[kind]
-		if of == nil {
+		stats := r.kinds[kind]
+		if stats == nil {
 			continue
 		}
-		line := report.Kind{Name: string(kind), Outcomes: map[string]int{}, Latency: report.QuantilesOf(of.answered),
-			Curve: report.CurveOf(of.answered)}
-		for outcome, n := range of.outcomes {
+		line := report.Kind{Name: string(kind), Outcomes: map[string]int{}, Latency: report.QuantilesOf(stats.latencies),
+			Curve: report.CurveOf(stats.latencies)}
+		for outcome, n := range stats.outcomes {
 			line.Calls += n
 			line.Outcomes[string(outcome)] = n
 		}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -17,21 +17,21 @@
 	Entry  string
 }
 
-// Caller makes a call and checks its answer. Implementations are safe for
+// Caller makes a call and checks its response. Implementations must be safe for
 // concurrent use.
 type Caller interface {
 	Do(ctx context.Context, call Call) Outcome
 }
 
-// Run sends the load and returns what came of it. It ends when every call has
-// ended, by its answer or its timeout; ending ctx cancels what is open.
+// Run sends the load and returns the results. It returns when every call has ended,
+// with a response or by its timeout. Cancelling ctx cancels the calls in flight.
 func Run(ctx context.Context, config Config, caller Caller) (report.Run, error) {
 	if err := config.Check(); err != nil {
 		return report.Run{}, err
 	}
 	g := &generator{
 		config: config, caller: caller, recorder: newRecorder(),
-		random: rand.New(rand.NewPCG(config.Seed, 0)), room: make(chan struct{}, config.InFlight),
+		random: rand.New(rand.NewPCG(config.Seed, 0)), slots: make(chan struct{}, config.InFlight),
 	}
 	start := time.Now()
 	var signals sync.WaitGroup
@@ -39,7 +39,7 @@
 		signals.Go(func() { signal.deliver(ctx, start) })
 	}
 	g.send(ctx, start)
-	g.open.Wait()
+	g.pending.Wait()
 	signals.Wait()
 	run := g.recorder.result()
 	run.Rate = config.Rate
@@ -48,49 +48,49 @@
 	return run, ctx.Err()
 }
 
-// generator sends calls at their intended times.
+// generator sends calls at their scheduled times.
 type generator struct {
 	config   Config
 	caller   Caller
 	recorder *recorder
 	random   *rand.Rand
-	// room holds one token for each open call.
-	room chan struct{}
-	open sync.WaitGroup
+	// slots holds one token for each call in flight.
+	slots   chan struct{}
+	pending sync.WaitGroup
 }
 
 func (g *generator) send(ctx context.Context, start time.Time) {
 	interval := g.config.interval()
-	for number := range g.config.calls() {
-		intended := start.Add(time.Duration(number) * interval)
-		if !wait.Sleep(ctx, time.Until(intended)) {
+	for number := range g.config.totalCalls() {
+		scheduled := start.Add(time.Duration(number) * interval)
+		if !wait.Sleep(ctx, time.Until(scheduled)) {
 			return
 		}
 		call := Call{Number: number, Kind: g.config.Mix.pick(g.random.IntN(g.config.Mix.total())),
 			Entry: g.config.Entries[number%len(g.config.Entries)]}
-		counted := intended.Sub(start) >= g.config.WarmUp
+		counted := scheduled.Sub(start) >= g.config.WarmUp
 		select {
-		case g.room <- struct{}{}:
-			g.open.Go(func() { g.call(ctx, call, intended, counted) })
+		case g.slots <- struct{}{}:
+			g.pending.Go(func() { g.call(ctx, call, scheduled, counted) })
 		default:
-			g.note(counted, call.Kind, NotSent, 0)
+			g.record(counted, call.Kind, NotSent, 0)
 		}
 	}
 }
 
-func (g *generator) call(ctx context.Context, call Call, intended time.Time, counted bool) {
-	defer func() { <-g.room }()
-	late := time.Since(intended)
+func (g *generator) call(ctx context.Context, call Call, scheduled time.Time, counted bool) {
+	defer func() { <-g.slots }()
+	delay := time.Since(scheduled)
 	ctx, cancel := context.WithTimeout(ctx, g.config.Timeout)
 	defer cancel()
 	outcome := g.caller.Do(ctx, call)
-	g.note(counted, call.Kind, outcome, time.Since(intended))
+	g.record(counted, call.Kind, outcome, time.Since(scheduled))
 	if counted {
-		g.recorder.late(late)
+		g.recorder.addDelay(delay)
 	}
 }
 
-func (g *generator) note(counted bool, kind Kind, outcome Outcome, took time.Duration) {
+func (g *generator) record(counted bool, kind Kind, outcome Outcome, took time.Duration) {
 	if counted {
 		g.recorder.add(kind, outcome, took)
 	}
