--- a/internal/experiment/admission/experiment.go
+++ b/internal/experiment/admission/experiment.go
@@ -1,9 +1,9 @@
-// Package admission measures the decisions of internal/admission in virtual
-// time: the targets of one service, a seeded stream of requests, and a choice
-// of target at the entry. It has no network and no nodes, and every run with
-// the same seed gives the same figures.
+// Package admission measures the decisions of internal/admission in virtual time. It
+// simulates the targets of one service, a seeded stream of requests, and the choice
+// of a target at the entry node. It has no network and no nodes, and every run with
+// the same seed gives the same results.
 //
-// Each experiment is paired: all policies and placements see the same requests.
+// Experiments are paired: all policies and placements get the same requests.
 package admission
 
 import (
@@ -17,37 +17,38 @@
 	"tamarackquay/internal/experiment"
 )
 
-// Config chooses what to run.
+// Config configures the experiment.
 type Config struct {
-	// Seed starts all random numbers.
+	// Seed is the seed of all random numbers.
 	Seed uint64
-	// Seconds is the measured virtual time of each run; a tenth of it runs
-	// before as warm-up.
+	// Seconds is the measured virtual time of each run. A warm-up of a tenth of it
+	// runs before.
 	Seconds float64
-	// QueuePerSlot bounds the queues of all policies alike.
+	// QueuePerSlot bounds the queues, in requests per slot, for all policies.
 	QueuePerSlot int
 }
 
-// DefaultConfig gives the figures of docs/measurements/admission.md.
+// DefaultConfig returns the configuration of the results in
+// docs/measurements/admission.md.
 func DefaultConfig() Config { return Config{Seed: 1, Seconds: 30, QueuePerSlot: 8} }
 
-// Deployment is one of the sizes of today: targets of one service.
+// Deployment is the number and size of the targets of one service.
 type Deployment struct {
 	Name    string `json:"name"`
 	Targets int    `json:"targets"`
 	Slots   int    `json:"slots"`
 }
 
-// capacity is the number of slots of all targets.
+// capacity returns the number of slots of all targets.
 func (d Deployment) capacity() int { return d.Targets * d.Slots }
 
-// The deployments that the brief names.
+// The users' current deployments.
 var (
 	CoOperative     = Deployment{Name: "co-operative", Targets: 6, Slots: 12}
 	LightingRecords = Deployment{Name: "lighting-records", Targets: 6, Slots: 18}
 )
 
-// Loads are the total demands that are measured, as multiples of the capacity.
+// Loads are the measured total demands, as multiples of the capacity.
 var Loads = []float64{0.8, 1.2, 3, 10}
 
 // lookupSeconds is the mean service time of a short request.
@@ -63,7 +64,7 @@
 
 // Summary implements experiment.Experiment.
 func (Experiment) Summary() string {
-	return "contracts kept under overload, against first come first served and a fixed partition"
+	return "contracts under overload, compared with first come, first served and a fixed partition"
 }
 
 // quickSeconds is the virtual time of a quick run.
@@ -83,16 +84,16 @@
 	return report.WriteText(w)
 }
 
-// Run makes every run of the experiment and returns the report. Runs share
-// nothing, so they go side by side; the report doesn't depend on which ends
-// first.
+// Run performs all runs of the experiment and returns the report. Runs share no
+// state and are performed in parallel; the report doesn't depend on the order in
+// which they end.
 func Run(ctx context.Context, config Config) (Report, error) {
 	if err := config.check(); err != nil {
 		return Report{}, err
 	}
 	var plan []func() Result
 	for _, deployment := range []Deployment{CoOperative, LightingRecords} {
-		plan = append(plan, runsOf(config, deployment)...)
+		plan = append(plan, planRuns(config, deployment)...)
 	}
 	report := Report{Config: config, Runs: make([]Result, len(plan))}
 	group, ctx := errgroup.WithContext(ctx)
@@ -111,16 +112,16 @@
 
 func (c Config) check() error {
 	if !(c.Seconds > 0 && c.Seconds <= 3600) {
-		return errors.Errorf("seconds is %v, give more than 0 and at most 3600", c.Seconds)
+		return errors.Errorf("seconds is %v, must be above 0 and at most 3600", c.Seconds)
 	}
 	if c.QueuePerSlot < 1 {
-		return errors.Errorf("queue per slot is %d, give at least 1", c.QueuePerSlot)
+		return errors.Errorf("queue per slot is %d, must be at least 1", c.QueuePerSlot)
 	}
 	return nil
 }
 
-// runsOf lists the runs of one deployment.
-func runsOf(config Config, deployment Deployment) []func() Result {
+// planRuns returns the runs of one deployment.
+func planRuns(config Config, deployment Deployment) []func() Result {
 	var plan []func() Result
 	add := func(run func() Result) { plan = append(plan, run) }
 	for _, load := range Loads {
@@ -144,8 +145,8 @@
 	for _, placement := range []Placement{PlaceNear, PlaceInRegion} {
 		add(func() Result { return OneRegion(config, deployment, placement) })
 	}
-	for _, part := range []float64{0, 0.25, 0.5, 1} {
-		add(func() Result { return LongRequests(config, deployment, part) })
+	for _, fraction := range []float64{0, 0.25, 0.5, 1} {
+		add(func() Result { return LongRequests(config, deployment, fraction) })
 	}
 	for _, load := range []float64{0.3, 0.6, 1.2} {
 		for _, inner := range []int{1, 2} {
--- a/internal/experiment/admission/placement.go
+++ b/internal/experiment/admission/placement.go
@@ -5,59 +5,61 @@
 	"slices"
 )
 
-// Placement is where a request waits and how its target is chosen.
+// Placement determines where a request waits and how its target is chosen.
 type Placement string
 
 // The placements.
 const (
-	// PlaceRandom waits at a target chosen at random.
+	// PlaceRandom waits at a random target.
 	PlaceRandom Placement = "owner-random"
-	// PlaceTwo waits at the less loaded of two, by what the entry has open.
+	// PlaceTwoChoices waits at the less loaded of two random targets, by the calls
+	// that the entry has in flight.
 	PlaceTwoChoices Placement = "owner-two-choices"
-	// PlaceCredits splits every target's slots among the entries; requests
-	// wait at their entry for one of its credits.
+	// PlaceCredits divides every target's slots among the entries. Requests wait at
+	// their entry for one of its credits.
 	PlaceCredits Placement = "entry-credits"
-	// PlaceNext waits nowhere: refused where no slot is free, try the next.
+	// PlaceTryNext never waits: a request refused for lack of a free slot tries the
+	// next target.
 	PlaceTryNext Placement = "refuse-and-try-next"
-	// PlaceProbe tries two targets without waiting, then waits at a third.
+	// PlaceProbe tries two targets without waiting, then waits at one.
 	PlaceProbe Placement = "probe-then-owner"
-	// PlaceNear probes the entry's own domain, then its region, then waits at
+	// PlaceNear tries the entry's own failure domain, then its region, then waits at
 	// any target.
 	PlaceNear Placement = "near-then-anywhere"
-	// PlaceRegion never leaves the entry's region.
+	// PlaceInRegion only uses targets in the entry's region.
 	PlaceInRegion Placement = "region-only"
 )
 
-// Placements are those that compete for all requests.
+// Placements are the placements that are compared for all requests.
 var Placements = []Placement{PlaceRandom, PlaceTwoChoices, PlaceCredits, PlaceTryNext, PlaceProbe}
 
 const (
-	// probes is how many targets are tried without waiting.
-	probes = 2
-	// maxWaits is how many targets are then asked for a place in the queue.
+	// maxProbes is the number of targets that are tried without waiting.
+	maxProbes = 2
+	// maxWaits is the number of targets whose queue is then tried.
 	maxWaits = 1
 )
 
-// domainsPerRegion is how many entries, and targets, share a region.
+// domainsPerRegion is the number of entries, and of targets, in a region.
 const domainsPerRegion = 2
 
 var entriesOfRegion = []int{0, 1}
 
-// chooser picks targets as an entry node does: it knows only the calls that it
-// has open itself.
+// chooser chooses targets as entry nodes do: each entry counts only its own calls in
+// flight.
 type chooser struct {
 	placement Placement
 	targets   int
 	cut       bool
-	open      [][]int
+	inFlight  [][]int
 	random    *rand.Rand
 }
 
 func newChooser(s *scenario, random *rand.Rand) *chooser {
 	c := &chooser{placement: s.placement, targets: s.deployment.Targets, cut: s.cut, random: random}
-	c.open = make([][]int, c.targets)
-	for entry := range c.open {
-		c.open[entry] = make([]int, c.targets)
+	c.inFlight = make([][]int, c.targets)
+	for entry := range c.inFlight {
+		c.inFlight[entry] = make([]int, c.targets)
 	}
 	return c
 }
@@ -68,35 +70,35 @@
 	noWait bool
 }
 
-// next returns the call's next attempt, or false when none is left.
+// next returns the call's next attempt, or false if none is left.
 func (c *chooser) next(call *call) (offer, bool) {
 	attempt := len(call.offers)
 	switch c.placement {
 	case PlaceCredits:
 		return offer{target: call.entry}, attempt == 0
 	case PlaceTryNext:
-		return c.pick(call, true, anywhere, c.two)
+		return c.pick(call, true, anywhere, c.lessLoadedOfTwo)
 	case PlaceRandom:
-		return c.pick(call, false, anywhere, c.one)
+		return c.pick(call, false, anywhere, c.randomTarget)
 	case PlaceTwoChoices:
-		return c.pick(call, false, anywhere, c.two)
+		return c.pick(call, false, anywhere, c.lessLoadedOfTwo)
 	case PlaceInRegion:
-		return c.pick(call, false, inRegion, c.two)
+		return c.pick(call, false, inRegion, c.lessLoadedOfTwo)
 	case PlaceNear:
 		if attempt == 0 {
 			return offer{target: call.entry, noWait: true}, true
 		}
 		if attempt == 1 {
-			return c.pick(call, true, inRegion, c.two)
+			return c.pick(call, true, inRegion, c.lessLoadedOfTwo)
 		}
 	}
-	return c.pick(call, attempt < probes, anywhere, c.two)
+	return c.pick(call, attempt < maxProbes, anywhere, c.lessLoadedOfTwo)
 }
 
-// pick makes an offer to a reachable target, or reports false when the attempts
-// of that kind are spent. A target that had no free slot is a candidate for
-// waiting still: its queue may hold the customer's guarantee.
-func (c *chooser) pick(call *call, noWait bool, allowed reach, choose func(*call, []int) int) (offer, bool) {
+// pick returns an offer to an allowed target, or false if no attempts of that kind are
+// left. A target without a free slot remains a candidate for waiting: the customer's
+// guarantee may apply in its queue.
+func (c *chooser) pick(call *call, noWait bool, allowed reachFunc, choose func(*call, []int) int) (offer, bool) {
 	made := 0
 	var list []int
 	for _, o := range call.offers {
@@ -115,10 +117,10 @@
 	return offer{target: choose(call, list), noWait: noWait}, true
 }
 
-// reach tells which targets an entry may choose.
-type reach func(c *chooser, entry, target int) bool
+// reachFunc reports whether an entry may choose a target.
+type reachFunc func(c *chooser, entry, target int) bool
 
-// anywhere is every target that the entry can reach.
+// anywhere allows every target that the entry can reach.
 func anywhere(c *chooser, entry, target int) bool {
 	half := c.targets / 2
 	return !c.cut || entry/half == target/half
@@ -128,12 +130,12 @@
 	return target/domainsPerRegion == entry/domainsPerRegion
 }
 
-func (c *chooser) one(_ *call, list []int) int { return list[c.random.IntN(len(list))] }
+func (c *chooser) randomTarget(_ *call, list []int) int { return list[c.random.IntN(len(list))] }
 
-func (c *chooser) two(call *call, list []int) int {
+func (c *chooser) lessLoadedOfTwo(call *call, list []int) int {
 	first := list[c.random.IntN(len(list))]
 	second := list[c.random.IntN(len(list))]
-	if c.open[call.entry][second] < c.open[call.entry][first] {
+	if c.inFlight[call.entry][second] < c.inFlight[call.entry][first] {
 		return second
 	}
 	return first
--- a/internal/experiment/admission/policy.go
+++ b/internal/experiment/admission/policy.go
@@ -8,30 +8,30 @@
 	"tamarackquay/internal/admission"
 )
 
-// Policy is how a target decides which requests run.
+// Policy determines how a target decides which requests run.
 type Policy string
 
-// The policies: the one in use and the baselines that it is measured against.
+// The policies: the one in use, and the baselines that it is compared with.
 const (
-	// PolicyShares is internal/admission.
+	// PolicyShares is the policy of internal/admission.
 	PolicyShares Policy = "shares"
 	// PolicyFirstCome serves in order of arrival.
 	PolicyFirstCome Policy = "first-come"
-	// PolicyFixed gives each customer a fixed number of slots of its own.
+	// PolicyFixed reserves a fixed number of slots for each customer.
 	PolicyFixed Policy = "fixed-partition"
 )
 
-// Policies are all policies.
+// Policies lists all policies.
 var Policies = []Policy{PolicyShares, PolicyFirstCome, PolicyFixed}
 
-// queue is what a target's admission looks like to the experiment.
+// queue is the admission queue of a target.
 type queue interface {
 	Offer(now time.Time, r admission.Request) (admission.Decision, admission.Changes)
 	Release(now time.Time, id string) admission.Changes
 	Cancel(id string) bool
 	Running() int
-	// Eligible is how many waiting requests the policy would let use a free
-	// slot, were there one.
+	// Eligible returns the number of waiting requests to which the policy would give
+	// a free slot if there was one.
 	Eligible() int
 }
 
@@ -40,21 +40,21 @@
 	case PolicyFirstCome:
 		return newFirstCome(terms.Slots, terms.QueuePerSlot)
 	case PolicyFixed:
-		return newFixed(terms)
+		return newFixedPartition(terms)
 	}
 	return admission.NewQueue(terms, seed)
 }
 
-// firstCome is first come, first served with a bounded queue.
+// firstCome serves requests in order of arrival, with a bounded queue.
 type firstCome struct {
-	slots   int
-	bound   int
-	running map[string]bool
-	waiting []admission.Request
+	slots    int
+	maxQueue int
+	running  map[string]bool
+	waiting  []admission.Request
 }
 
 func newFirstCome(slots, queuePerSlot int) *firstCome {
-	return &firstCome{slots: slots, bound: slots * queuePerSlot, running: map[string]bool{}}
+	return &firstCome{slots: slots, maxQueue: slots * queuePerSlot, running: map[string]bool{}}
 }
 
 func (q *firstCome) Running() int  { return len(q.running) }
@@ -67,7 +67,7 @@
 		return admission.Decision{Verdict: admission.Admitted}, admission.Changes{Started: []admission.Request{r}}
 	case r.NoWait:
 		return admission.Decision{Verdict: admission.Refused, Reason: admission.ReasonBusy}, admission.Changes{}
-	case len(q.waiting) >= q.bound:
+	case len(q.waiting) >= q.maxQueue:
 		return admission.Decision{Verdict: admission.Refused, Reason: admission.ReasonQueueFull}, admission.Changes{}
 	}
 	q.waiting = append(q.waiting, r)
@@ -91,22 +91,22 @@
 	return len(q.waiting) < before
 }
 
-// fixed gives each customer slots that no other may use.
-type fixed struct {
-	parts map[string]*firstCome
-	owner map[string]*firstCome
+// fixedPartition gives each customer slots that no other customer may use.
+type fixedPartition struct {
+	partitions  map[string]*firstCome
+	partitionOf map[string]*firstCome
 }
 
-// newFixed divides the slots by largest remainder.
-func newFixed(terms admission.Terms) *fixed {
+// newFixedPartition divides the slots by the largest remainder method.
+func newFixedPartition(terms admission.Terms) *fixedPartition {
 	shares, slots := terms.Shares, terms.Slots
-	q := &fixed{parts: map[string]*firstCome{}, owner: map[string]*firstCome{}}
+	q := &fixedPartition{partitions: map[string]*firstCome{}, partitionOf: map[string]*firstCome{}}
 	names := sortedNames(shares)
-	left := slots
+	remaining := slots
 	for _, name := range names {
-		whole := admission.FloorSlots(shares[name].Guaranteed, slots)
-		q.parts[name] = newFirstCome(whole, terms.QueuePerSlot)
-		left -= whole
+		floor := admission.FloorSlots(shares[name].Guaranteed, slots)
+		q.partitions[name] = newFirstCome(floor, terms.QueuePerSlot)
+		remaining -= floor
 	}
 	remainder := func(name string) float64 {
 		_, fraction := math.Modf(shares[name].Guaranteed * float64(slots))
@@ -115,46 +115,46 @@
 	slices.SortStableFunc(names, func(a, b string) int {
 		return int(math.Copysign(1, remainder(b)-remainder(a)))
 	})
-	for _, name := range names[:min(left, len(names))] {
-		q.parts[name] = newFirstCome(q.parts[name].slots+1, terms.QueuePerSlot)
+	for _, name := range names[:min(remaining, len(names))] {
+		q.partitions[name] = newFirstCome(q.partitions[name].slots+1, terms.QueuePerSlot)
 	}
 	return q
 }
 
-func (q *fixed) Offer(now time.Time, r admission.Request) (admission.Decision, admission.Changes) {
-	part := q.parts[r.Customer]
-	decision, changes := part.Offer(now, r)
+func (q *fixedPartition) Offer(now time.Time, r admission.Request) (admission.Decision, admission.Changes) {
+	partition := q.partitions[r.Customer]
+	decision, changes := partition.Offer(now, r)
 	if decision.Verdict != admission.Refused {
-		q.owner[r.ID] = part
+		q.partitionOf[r.ID] = partition
 	}
 	return decision, changes
 }
 
-func (q *fixed) Release(now time.Time, id string) admission.Changes {
-	part := q.owner[id]
-	delete(q.owner, id)
-	return part.Release(now, id)
+func (q *fixedPartition) Release(now time.Time, id string) admission.Changes {
+	partition := q.partitionOf[id]
+	delete(q.partitionOf, id)
+	return partition.Release(now, id)
 }
 
-func (q *fixed) Cancel(id string) bool {
-	part := q.owner[id]
-	if part == nil || !part.Cancel(id) {
+func (q *fixedPartition) Cancel(id string) bool {
+	partition := q.partitionOf[id]
+	if partition == nil || !partition.Cancel(id) {
 		return false
 	}
-	delete(q.owner, id)
+	delete(q.partitionOf, id)
 	return true
 }
 
-func (q *fixed) Running() int { return q.sum((*firstCome).Running) }
+func (q *fixedPartition) Running() int { return q.sum((*firstCome).Running) }
 
-// Eligible counts every waiting request: that a slot is kept from it is the
-// fault to be measured.
-func (q *fixed) Eligible() int { return q.sum((*firstCome).Eligible) }
+// Eligible counts every waiting request: slots that the partition keeps idle while
+// requests wait are the fault to be measured.
+func (q *fixedPartition) Eligible() int { return q.sum((*firstCome).Eligible) }
 
-func (q *fixed) sum(of func(*firstCome) int) int {
+func (q *fixedPartition) sum(count func(*firstCome) int) int {
 	total := 0
-	for _, part := range q.parts {
-		total += of(part)
+	for _, partition := range q.partitions {
+		total += count(partition)
 	}
 	return total
 }
--- a/internal/experiment/admission/report.go
+++ b/internal/experiment/admission/report.go
@@ -9,26 +9,26 @@
 	"text/tabwriter"
 )
 
-// Report holds every run of an experiment. It marshals to JSON as it stands.
+// Report holds all runs of an experiment. It can be encoded as JSON.
 type Report struct {
 	Config Config   `json:"config"`
 	Runs   []Result `json:"runs"`
 }
 
-// Result is what one run showed. Parts are parts of the capacity.
+// Result is the result of one run. Fractions are fractions of the capacity.
 type Result struct {
 	Experiment string    `json:"experiment"`
 	Detail     string    `json:"detail"`
 	Deployment string    `json:"deployment"`
 	Policy     Policy    `json:"policy"`
 	Placement  Placement `json:"placement"`
-	// Goodput is the part of the capacity used for requests that were in time.
+	// Goodput is the fraction used for requests that completed in time.
 	Goodput float64 `json:"goodput"`
-	// Taken is the part of the capacity that customers were owed and wanted
-	// and that others used or nobody did.
+	// Shortfall is the fraction that customers were guaranteed and demanded but did
+	// not receive, because others used it or it was idle.
 	Shortfall float64 `json:"taken"`
-	// IdleAtTarget is the part that was idle while a request waited at the
-	// same target; IdleInFleet while one waited anywhere.
+	// IdleAtTarget is the fraction that was idle while a request waited at the same
+	// target, IdleInFleet while a request waited at any target.
 	IdleAtTarget float64        `json:"idle_at_target"`
 	IdleInFleet  float64        `json:"idle_in_fleet"`
 	Customers    []Customer     `json:"customers"`
@@ -36,21 +36,21 @@
 	Refusals     map[string]int `json:"refusals"`
 }
 
-// Customer is one customer's account.
+// Customer is the result of one customer.
 type Customer struct {
 	Name string `json:"name"`
-	// Promised, Demand and Received are parts of the capacity.
+	// Guaranteed, Demand and Received are fractions of the capacity.
 	Guaranteed float64 `json:"promised"`
 	Demand     float64 `json:"demand"`
 	Received   float64 `json:"received"`
-	// Kept is received / min(demand, promised), at most 1.
+	// Fulfilled is Received / min(Demand, Guaranteed), at most 1.
 	Fulfilled float64 `json:"kept"`
-	// HeldMost and LimitSlots count slots over all targets.
+	// MaxHeld and LimitSlots count slots over all targets.
 	MaxHeld    int     `json:"held_most"`
 	LimitSlots float64 `json:"limit_slots"`
 }
 
-// Stream is one class of one customer; waits are in milliseconds.
+// Stream is the result of one class of one customer. Waits are in milliseconds.
 type Stream struct {
 	Customer string  `json:"customer"`
 	Class    string  `json:"class"`
@@ -63,16 +63,17 @@
 
 func (r *Report) add(result Result) { r.Runs = append(r.Runs, result) }
 
-// LeastKept is the smallest part of a contract that any customer received.
+// MinFulfilled returns the smallest fraction of its contract that any customer
+// received.
 func (r *Result) MinFulfilled() float64 {
-	least := 1.0
+	lowest := 1.0
 	for i := range r.Customers {
-		least = min(least, r.Customers[i].Fulfilled)
+		lowest = min(lowest, r.Customers[i].Fulfilled)
 	}
-	return least
+	return lowest
 }
 
-// Stream returns the customer's class, or nil.
+// Stream returns the result of a customer's class, or nil.
 func (r *Result) Stream(customer, class string) *Stream {
 	for i := range r.Streams {
 		if r.Streams[i].Customer == customer && r.Streams[i].Class == class {
@@ -94,12 +95,12 @@
 			fmt.Fprintf(table, "\n%s\ncase\tpolicy\tplacement\tgoodput\ttaken\tidle target\tidle fleet\tkept\twaits\trefused\n", heading)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%.3f\t%.3f\t%.4f\t%.4f\t%s\t%s\t%s\n", run.Detail, run.Policy, run.Placement,
-			run.Goodput, run.Shortfall, run.IdleAtTarget, run.IdleInFleet, run.keptText(), run.waitText(), run.refusedText())
+			run.Goodput, run.Shortfall, run.IdleAtTarget, run.IdleInFleet, run.fulfilledText(), run.waitText(), run.refusedText())
 	}
 	return table.Flush()
 }
 
-func (r *Result) keptText() string {
+func (r *Result) fulfilledText() string {
 	var list []string
 	for _, c := range r.Customers {
 		text := fmt.Sprintf("%s %.3f", c.Name, c.Fulfilled)
--- a/internal/experiment/admission/scenarios.go
+++ b/internal/experiment/admission/scenarios.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Overload offers load times the capacity. One customer, "surge", sends up to
-// twenty times its contract; the others share the rest.
+// Overload runs a total demand of load times the capacity. One customer, "surge",
+// sends up to twenty times its contract; the others share the rest.
 func Overload(config Config, deployment Deployment, load float64, policy Policy) Result {
 	surge := min(20*surgeShare, max(load-0.9*min(load, 1), surgeShare*load))
 	others := (load - surge) / (1 - surgeShare)
@@ -19,8 +19,8 @@
 	})
 }
 
-// QueueBound shows what the bound of the queues costs: a short queue drops
-// requests that a moment later would have had a slot, a long one lets them wait.
+// QueueBound measures the cost of the bound of the queues: a short queue drops
+// requests that would have got a slot a moment later, a long one makes them wait.
 func QueueBound(config Config, deployment Deployment, bound int) Result {
 	config.QueuePerSlot = bound
 	r := Overload(config, deployment, 1.2, PolicyShares)
@@ -32,8 +32,8 @@
 // surgeShare is the guaranteed share of the customer that sends too much.
 const surgeShare = 0.1
 
-// Classes lets one customer's internal lookups grow to multiple times its
-// share, while its inspectors and another customer go on as before.
+// Classes runs internal lookups of one customer at multiple times its share, while
+// the load of its inspectors and of another customer is constant.
 func Classes(config Config, deployment Deployment, multiple float64, policy Policy) Result {
 	const share = 0.7
 	demands := []demand{
@@ -47,7 +47,8 @@
 	})
 }
 
-// Placed compares where requests wait. Requests enter unevenly, as callers do.
+// ComparePlacement runs one placement. Requests enter unevenly, as those of real
+// callers do.
 func ComparePlacement(config Config, deployment Deployment, load float64, placement Placement) Result {
 	demands := []demand{
 		{customer: "one", share: 0.6, limit: 1, load: 0.6 * load},
@@ -59,8 +60,8 @@
 	})
 }
 
-// OneRegion lets all demand of one customer enter in one region, at its full
-// guarantee, while another customer sends three times the capacity everywhere.
+// OneRegion runs one customer whose requests all enter in one region, at its full
+// guarantee, while another customer sends three times the capacity in all regions.
 func OneRegion(config Config, deployment Deployment, placement Placement) Result {
 	demands := []demand{
 		{customer: "local", share: 0.5, limit: 1, load: 0.5, entries: entriesOfRegion},
@@ -72,8 +73,8 @@
 	})
 }
 
-// Limit lets one customer send twice the capacity against a limit of 0.3, with
-// the fleet whole or cut into two halves that can't reach each other.
+// Limit runs one customer that sends twice the capacity and has a limit of 0.3. If cut
+// is set, the fleet is partitioned into two halves.
 func Limit(config Config, deployment Deployment, cut bool) Result {
 	demands := []demand{
 		{customer: "limited", share: 0.2, limit: 0.3, load: 2},
@@ -92,25 +93,25 @@
 // longSeconds is the mean service time of an archive.
 const longSeconds = 60
 
-// Long lets one customer's archives, ten times the capacity, meet another's
-// short tallies that pause and come back at their full guarantee. Part is how
-// much of what others are guaranteed archives may borrow. Archives take
-// minutes, so this run lasts eight times as long as the others.
-func LongRequests(config Config, deployment Deployment, part float64) Result {
+// LongRequests runs one customer's archives, at ten times the capacity, with another
+// customer's short tallies, which pause and resume at their full guarantee. Fraction
+// is the fraction of the slots guaranteed to others that archives may borrow. Archives
+// take minutes, so this run lasts eight times as long as the others.
+func LongRequests(config Config, deployment Deployment, fraction float64) Result {
 	config.Seconds *= 8
 	demands := []demand{
 		{customer: "tallies", class: "crew", share: 0.6, limit: 1, load: 0.6, pause: 15},
 		{customer: "archives", class: "download", share: 0.3, limit: 1, load: 10, service: longSeconds, long: true},
 	}
 	return run(scenario{
-		config: config, name: "long", detail: fmt.Sprintf("long_lent %g", part), deployment: deployment,
-		policy: PolicyShares, placement: PlaceProbe, demands: demands, longLent: part,
+		config: config, name: "long", detail: fmt.Sprintf("long_lent %g", fraction), deployment: deployment,
+		policy: PolicyShares, placement: PlaceProbe, demands: demands, longBorrowLimit: fraction,
 	})
 }
 
-// Cycle lets each request call the same service again, inner calls deep, while
-// it holds its slot. All slots held by outer calls whose inner calls wait is
-// the state that must not last.
+// Cycle runs requests that call the same service again, inner calls deep, while they
+// hold their slot. The fleet must not stay in the state in which outer calls hold all
+// slots while their inner calls wait.
 func Cycle(config Config, deployment Deployment, inner int, load float64, marked bool, policy Policy) Result {
 	detail := fmt.Sprintf("%d inner, load %g", inner, load)
 	if !marked {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment names what an experiment is: a comparison that runs inside
-// one process on virtual time, so that it gives the same figures on every
-// machine and every run. The command tamarackload lists and runs them; each
-// experiment is a package of its own below this one.
+// Package experiment defines the interface of experiments. An experiment is a
+// comparison that runs inside one process in virtual time, so that it gives the same
+// results on every machine and in every run. The command tamarackload lists and runs
+// experiments. Each one is a package below this one.
 package experiment
 
 import (
@@ -9,22 +9,22 @@
 	"io"
 )
 
-// Options are what an operator may choose about a run.
+// Options configures a run of an experiment.
 type Options struct {
-	// Seed starts all random numbers of the run; equal seeds give equal
+	// Seed is the seed of all random numbers of the run. Equal seeds give equal
 	// output.
 	Seed uint64
-	// Quick asks for a run of a few seconds with fewer or smaller cases.
+	// Quick limits the run to a few seconds, with fewer or smaller cases.
 	Quick bool
 }
 
 // Experiment is one comparison.
 type Experiment interface {
-	// Name is the word by which it is called: "admission".
+	// Name returns the name on the command line, such as "admission".
 	Name() string
-	// Summary says in one line what is compared.
+	// Summary describes the comparison in one line.
 	Summary() string
-	// Run writes the figures as text to w. It must be deterministic: no wall
-	// time and no global random source may reach the output.
+	// Run writes the results as text to w. It must be deterministic: the output must
+	// not depend on wall time or on a global random source.
 	Run(ctx context.Context, w io.Writer, options Options) error
 }
--- a/internal/experiment/largeanswers/largeanswers.go
+++ b/internal/experiment/largeanswers/largeanswers.go
@@ -1,7 +1,7 @@
-// Package largeanswers plays large answers that share the link of a target's VM, in
-// virtual time: how many are in time by the order in which they are sent, and how
-// many are taken at all. It has no network, and every run with the same seed gives
-// the same figures.
+// Package largeanswers simulates large responses that share the link of a target's VM,
+// in virtual time. It measures how many are admitted, and how many are in time,
+// depending on the order in which they are sent. It has no network, and every run with
+// the same seed gives the same results.
 package largeanswers
 
 import (
@@ -18,98 +18,98 @@
 	"tamarackquay/internal/link"
 )
 
-// Load is what callers ask of one VM.
+// Load is the load of callers on one VM.
 type Load struct {
 	// Link is the speed of the VM's link in bytes a second.
 	Link float64
-	// Size is the mean of the answers in bytes, Hold how long the target takes for
-	// one on average, Within the time in which callers want it.
+	// Size is the mean size of responses in bytes, ServiceTime the mean time that the
+	// target takes for one, Timeout the time in which callers must receive it.
 	Size        float64
 	ServiceTime time.Duration
 	Timeout     time.Duration
-	// Demand is what is asked for, as a multiple of what the link carries.
+	// Demand is the requested rate as a multiple of the usable rate of the link.
 	Demand float64
-	// Arrivals is how many answers are asked for.
+	// Arrivals is the number of requests.
 	Arrivals int
 }
 
 // Archives is the load of the users' largest archives: 280 KB over 22.4 Mbit/s.
 var Archives = Load{Link: 22.4e6 / 8, Size: 280e3, ServiceTime: 210 * time.Millisecond, Timeout: 1200 * time.Millisecond, Demand: 1.5, Arrivals: 3000}
 
-// spread is that of the logarithm of sizes and of the target's times.
-const spread = 0.5
+// logStdDev is the standard deviation of the logarithm of sizes and service times.
+const logStdDev = 0.5
 
-// Order says which of the answers that are ready is sent next: the one with the
-// earliest moment.
+// Order determines the order in which ready responses are sent: the one with the
+// earliest key is sent next.
 type Order struct {
 	Name string
-	Key  func(a Response, within time.Duration) time.Time
+	Key  func(r Response, timeout time.Duration) time.Time
 }
 
-// The orders that are compared.
+// The compared orders.
 var (
-	ReadyFirst    = Order{"ready first", func(a Response, _ time.Duration) time.Time { return a.Ready }}
-	DeadlineFirst = Order{"due first", func(a Response, within time.Duration) time.Time { return a.Arrived.Add(within) }}
+	ReadyFirst    = Order{"ready first", func(r Response, _ time.Duration) time.Time { return r.Ready }}
+	DeadlineFirst = Order{"due first", func(r Response, timeout time.Duration) time.Time { return r.Arrived.Add(timeout) }}
 )
 
-// Answer is one answer that was taken.
+// Response is one admitted response.
 type Response struct {
 	Arrived, Ready time.Time
 	Size           float64
 }
 
-// start is when the plays begin; any moment serves.
+// start is the start of the simulated time. Its value is arbitrary.
 var start = time.Unix(1_000_000, 0)
 
-// Taken returns the answers that the link's share takes, in the order in which they
-// are ready.
+// Admitted returns the responses that the link's pacer admits, in the order in which
+// they are ready.
 func (l Load) Admitted(seed uint64) []Response {
 	random := rand.New(rand.NewPCG(seed, 2))
-	logNormal := func() float64 { return math.Exp(spread*random.NormFloat64() - spread*spread/2) }
-	share := link.NewPacer(l.Link)
-	between := l.Size / share.Rate() / l.Demand * float64(time.Second)
-	var taken []Response
+	logNormal := func() float64 { return math.Exp(logStdDev*random.NormFloat64() - logStdDev*logStdDev/2) }
+	pacer := link.NewPacer(l.Link)
+	meanInterval := l.Size / pacer.Rate() / l.Demand * float64(time.Second)
+	var admitted []Response
 	now := start
 	for range l.Arrivals {
-		now = now.Add(time.Duration(random.ExpFloat64() * between))
-		size, hold := l.Size*logNormal(), time.Duration(float64(l.ServiceTime)*logNormal())
-		if _, ok := share.Admit(now, l.Size, l.Timeout-3*l.ServiceTime/2); !ok {
+		now = now.Add(time.Duration(random.ExpFloat64() * meanInterval))
+		size, serviceTime := l.Size*logNormal(), time.Duration(float64(l.ServiceTime)*logNormal())
+		if _, ok := pacer.Admit(now, l.Size, l.Timeout-3*l.ServiceTime/2); !ok {
 			continue
 		}
-		share.CorrectSize(l.Size, size)
-		taken = append(taken, Response{Arrived: now, Ready: now.Add(hold), Size: size})
+		pacer.CorrectSize(l.Size, size)
+		admitted = append(admitted, Response{Arrived: now, Ready: now.Add(serviceTime), Size: size})
 	}
-	slices.SortFunc(taken, func(a, b Response) int { return a.Ready.Compare(b.Ready) })
-	return taken
+	slices.SortFunc(admitted, func(a, b Response) int { return a.Ready.Compare(b.Ready) })
+	return admitted
 }
 
-// InTime sends the answers in an order, one after another, and returns which part
-// of them came within the time that callers want.
-func (l Load) OnTimeFraction(answers []Response, order Order) float64 {
+// OnTimeFraction sends the responses one after another in the given order, and returns
+// the fraction that is complete within the timeout.
+func (l Load) OnTimeFraction(responses []Response, order Order) float64 {
 	var q link.TransferQueue
 	for range link.MaxConcurrent {
 		q.Start(&link.Transfer{})
 	}
 	rate := link.NewPacer(l.Link).Rate()
 	waiting := map[*link.Transfer]Response{}
-	now, good, next := start, 0, 0
-	for next < len(answers) || len(waiting) > 0 {
-		if len(waiting) == 0 && answers[next].Ready.After(now) {
-			now = answers[next].Ready
+	now, onTime, next := start, 0, 0
+	for next < len(responses) || len(waiting) > 0 {
+		if len(waiting) == 0 && responses[next].Ready.After(now) {
+			now = responses[next].Ready
 		}
-		for ; next < len(answers) && !answers[next].Ready.After(now); next++ {
-			turn := &link.Transfer{Deadline: order.Key(answers[next], l.Timeout)}
-			waiting[turn] = answers[next]
-			q.Start(turn)
+		for ; next < len(responses) && !responses[next].Ready.After(now); next++ {
+			transfer := &link.Transfer{Deadline: order.Key(responses[next], l.Timeout)}
+			waiting[transfer] = responses[next]
+			q.Start(transfer)
 		}
-		turn := q.Finish()
-		now = now.Add(time.Duration(waiting[turn].Size / rate * float64(time.Second)))
-		if now.Sub(waiting[turn].Arrived) <= l.Timeout {
-			good++
+		transfer := q.Finish()
+		now = now.Add(time.Duration(waiting[transfer].Size / rate * float64(time.Second)))
+		if now.Sub(waiting[transfer].Arrived) <= l.Timeout {
+			onTime++
 		}
-		delete(waiting, turn)
+		delete(waiting, transfer)
 	}
-	return float64(good) / float64(len(answers))
+	return float64(onTime) / float64(len(responses))
 }
 
 // Experiment implements experiment.Experiment.
@@ -122,10 +122,10 @@
 
 // Summary implements experiment.Experiment.
 func (Experiment) Summary() string {
-	return "answers that share a VM's link: which part is taken, and in time, by the order in which they are sent"
+	return "responses that share a VM's link: the fractions admitted and in time, by the order of sending"
 }
 
-// demands are those that are compared, as multiples of what the link carries.
+// demands are the compared demands, as multiples of the usable rate of the link.
 var demands = []float64{0.7, 0.9, 1.1, 1.5, 3}
 
 // Run implements experiment.Experiment.
@@ -138,9 +138,9 @@
 		}
 		load := Archives
 		load.Demand = demand
-		taken := load.Admitted(options.Seed)
-		fmt.Fprintf(table, "%.1f\t%.3f\t%.3f\t%.3f\n", demand, float64(len(taken))/float64(load.Arrivals),
-			load.OnTimeFraction(taken, ReadyFirst), load.OnTimeFraction(taken, DeadlineFirst))
+		admitted := load.Admitted(options.Seed)
+		fmt.Fprintf(table, "%.1f\t%.3f\t%.3f\t%.3f\n", demand, float64(len(admitted))/float64(load.Arrivals),
+			load.OnTimeFraction(admitted, ReadyFirst), load.OnTimeFraction(admitted, DeadlineFirst))
 	}
 	return table.Flush()
 }
--- a/internal/experiment/largeanswers/largeanswers_test.go
+++ b/internal/experiment/largeanswers/largeanswers_test.go
@@ -10,24 +10,25 @@
 	"tamarackquay/internal/experiment"
 )
 
-// Archives are asked for beyond what the link carries, and targets take uneven
-// times for them. Of those that are taken, callers get more in time if the one
-// that is due first is sent first than if the first that is ready is.
+// Requests for archives exceed the rate of the link, and service times vary. Guards
+// against an order of sending that misses deadlines: of the admitted responses, more
+// must be in time if the one with the earliest deadline is sent first than if the first
+// ready one is.
 func TestDueFirstIsInTimeMoreOften(t *testing.T) {
-	taken := Archives.Admitted(1)
-	readyFirst, dueFirst := Archives.OnTimeFraction(taken, ReadyFirst), Archives.OnTimeFraction(taken, DeadlineFirst)
-	t.Logf("in time: %.3f when the first that is ready goes first, %.3f when the one due first does", readyFirst, dueFirst)
-	assert.Assert(t, dueFirst > readyFirst)
-	assert.Assert(t, dueFirst >= 0.97, "%.3f", dueFirst)
+	admitted := Archives.Admitted(1)
+	readyFirst, deadlineFirst := Archives.OnTimeFraction(admitted, ReadyFirst), Archives.OnTimeFraction(admitted, DeadlineFirst)
+	t.Logf("in time: %.3f with the first ready response sent first, %.3f with the earliest deadline sent first", readyFirst, deadlineFirst)
+	assert.Assert(t, deadlineFirst > readyFirst)
+	assert.Assert(t, deadlineFirst >= 0.97, "%.3f", deadlineFirst)
 }
 
-// Callers ask for half of what the link carries: next to nothing is refused, though
-// arrivals come in clusters.
+// Guards against needless refusals. At half of the link's rate, nearly nothing must be
+// refused, although arrivals are clustered.
 func TestNothingIsRefusedBelowTheLinksRate(t *testing.T) {
 	load := Archives
 	load.Demand = 0.5
-	taken := len(load.Admitted(1))
-	assert.Assert(t, float64(taken) >= 0.99*float64(load.Arrivals), "%d of %d", taken, load.Arrivals)
+	admitted := len(load.Admitted(1))
+	assert.Assert(t, float64(admitted) >= 0.99*float64(load.Arrivals), "%d of %d", admitted, load.Arrivals)
 }
 
 func TestExperimentIsRepeatable(t *testing.T) {
--- a/internal/report/ratio.go
+++ b/internal/report/ratio.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Ratio compares one quantile of a kind between the two sides of a pair. On a
-// busy machine the ratio of runs made in turn is steadier than either figure.
+// Ratio compares one quantile of a kind between the two sides of a paired run. On a
+// busy machine the ratio of alternating runs varies less than the results of each.
 type Ratio struct {
 	Kind     string    `json:"kind"`
 	Quantile string    `json:"quantile"`
 	Rounds   []float64 `json:"rounds"`
-	// Median is over the rounds: B divided by A.
+	// Median is the median over the rounds of B divided by A.
 	Median float64 `json:"median"`
-	// AddedMS is the median over the rounds of B less A, in milliseconds.
+	// AddedMS is the median over the rounds of B minus A, in milliseconds.
 	AddedMS float64 `json:"added_ms"`
 }
 
-// String renders the ratio on one line.
+// String returns the ratio as one line.
 func (r Ratio) String() string {
 	return fmt.Sprintf("%s %s: B/A median %.3f, rounds %.3f; B-A median %+.3f ms", r.Kind, r.Quantile, r.Median, r.Rounds, r.AddedMS)
 }
@@ -39,7 +39,7 @@
 			ratio := Ratio{Kind: kind.Name, Quantile: quantile.name}
 			var added []float64
 			for i := 0; i+1 < len(runs); i += 2 {
-				a, b := quantile.of(runs[i].waitsOf(kind.Name)), quantile.of(runs[i+1].waitsOf(kind.Name))
+				a, b := quantile.of(runs[i].latencyOf(kind.Name)), quantile.of(runs[i+1].latencyOf(kind.Name))
 				if a > 0 && b > 0 {
 					ratio.Rounds = append(ratio.Rounds, b/a)
 					added = append(added, b-a)
@@ -55,7 +55,7 @@
 	return ratios
 }
 
-func (r *Run) waitsOf(kind string) Quantiles {
+func (r *Run) latencyOf(kind string) Quantiles {
 	for _, k := range r.Kinds {
 		if k.Name == kind {
 			return k.Latency
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,5 @@
-// Package report holds the figures of load runs and renders them as text, JSON
-// and an SVG plot.
+// Package report holds the results of load runs and renders them as text, JSON and an
+// SVG plot.
 package report
 
 import (
@@ -10,9 +10,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is one invocation of tamarackload.
+// Report holds the results of one invocation of tamarackload.
 type Report struct {
-	// Command is the command line that gave the figures.
+	// Command is the command line of the invocation.
 	Command string    `json:"command"`
 	Time    time.Time `json:"time"`
 	Runs    []Run     `json:"runs"`
@@ -20,30 +20,30 @@
 	Ratios []Ratio `json:"ratios,omitempty"`
 }
 
-// Run is one run of load.
+// Run is the result of one run.
 type Run struct {
 	Name string `json:"name"`
-	// Rate is in calls a second, as intended.
+	// Rate is the scheduled rate in calls per second.
 	Rate    float64 `json:"rate"`
 	Seconds float64 `json:"seconds"`
 	Seed    uint64  `json:"seed"`
 	Kinds   []Kind  `json:"kinds"`
-	// Lateness is how long after their intended time calls were sent: the
-	// generator's own error.
+	// Lateness is how long after their scheduled time calls were sent. It is the
+	// error of the load generator.
 	Lateness Quantiles `json:"lateness"`
 }
 
-// Kind is one kind of request's part in a run.
+// Kind is the result of one kind of request.
 type Kind struct {
 	Name     string         `json:"name"`
 	Calls    int            `json:"calls"`
 	Outcomes map[string]int `json:"outcomes"`
-	// Waits are of answered calls, from the intended send to the last byte.
+	// Latency is that of answered calls, from the scheduled time to the last byte.
 	Latency Quantiles `json:"waits"`
 	Curve   []Point   `json:"curve"`
 }
 
-// Waits are quantiles in milliseconds.
+// Quantiles are quantiles in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -59,7 +59,7 @@
 	MS       float64 `json:"ms"`
 }
 
-// The quantiles of Waits, in per cent.
+// The quantiles, in percent.
 const (
 	p50  = 50
 	p90  = 90
@@ -67,17 +67,17 @@
 	p999 = 99.9
 )
 
-// microsPerMS turns histograms' microseconds into milliseconds.
+// microsPerMS is the number of microseconds in a millisecond.
 const microsPerMS = 1000
 
-// WaitsOf reads the quantiles of a histogram of microseconds.
+// QuantilesOf returns the quantiles of a histogram of microseconds.
 func QuantilesOf(histogram *hdrhistogram.Histogram) Quantiles {
 	at := func(quantile float64) float64 { return float64(histogram.ValueAtQuantile(quantile)) / microsPerMS }
 	return Quantiles{Count: histogram.TotalCount(), P50: at(p50), P90: at(p90), P99: at(p99), P999: at(p999),
 		Max: float64(histogram.Max()) / microsPerMS}
 }
 
-// CurveOf reads a histogram's quantiles for a plot.
+// CurveOf returns the quantile curve of a histogram of microseconds for a plot.
 func CurveOf(histogram *hdrhistogram.Histogram) []Point {
 	var curve []Point
 	for _, bracket := range histogram.CumulativeDistribution() {
@@ -86,7 +86,7 @@
 	return curve
 }
 
-// JSON writes the report indented.
+// JSON writes the report as indented JSON.
 func (r *Report) JSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Text writes the report for people.
+// Text writes the report as text.
 func (r *Report) Text(w io.Writer) {
 	fmt.Fprintf(w, "%s\n", r.Command)
 	for i := range r.Runs {
@@ -23,9 +23,9 @@
 	fmt.Fprintf(w, "%s: %g calls/s for %g s, seed %d; sent late by p50 %.3f ms, p99 %.3f ms\n",
 		r.Name, r.Rate, r.Seconds, r.Seed, r.Lateness.P50, r.Lateness.P99)
 	for _, kind := range r.Kinds {
-		waits := kind.Latency
+		latency := kind.Latency
 		fmt.Fprintf(w, "  %-8s %7d calls  p50 %8.3f  p90 %8.3f  p99 %8.3f  p99.9 %8.3f  max %8.3f ms  %s\n",
-			kind.Name, kind.Calls, waits.P50, waits.P90, waits.P99, waits.P999, waits.Max, outcomesText(kind.Outcomes))
+			kind.Name, kind.Calls, latency.P50, latency.P90, latency.P99, latency.P999, latency.Max, outcomesText(kind.Outcomes))
 	}
 }
 
