--- a/internal/experiment/admission/placement.go
+++ b/internal/experiment/admission/placement.go
@@ -99,11 +99,11 @@
 // left. A target without a free slot remains a candidate for waiting: the customer's
 // guarantee may apply in its queue.
 func (c *chooser) pick(call *call, noWait bool, allowed reachFunc, choose func(*call, []int) int) (offer, bool) {
-	made := 0
+	tried := 0
 	var list []int
 	for _, o := range call.offers {
 		if o.noWait == noWait {
-			made++
+			tried++
 		}
 	}
 	for target := range c.targets {
@@ -111,7 +111,7 @@
 			list = append(list, target)
 		}
 	}
-	if len(list) == 0 || !noWait && made >= maxWaits {
+	if len(list) == 0 || !noWait && tried >= maxWaits {
 		return offer{}, false
 	}
 	return offer{target: choose(call, list), noWait: noWait}, true
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -81,10 +81,10 @@
 	records []Record
 }
 
-func (b *recorder) add(r Record) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.records = append(b.records, r)
+func (rec *recorder) add(r Record) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.records = append(rec.records, r)
 }
 
 // runCallers sends requests from the callers of all VMs until ctx ends.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -151,18 +151,18 @@
 	if !x.nodeUndisturbed(r.VM, r.Begin-applyBound, r.End) {
 		return nil
 	}
-	versions, overdue := x.published(r.End, r.Begin)
-	applied := slices.DeleteFunc(versions, func(v uint64) bool { return v < overdue })
+	versions, required := x.published(r.End, r.Begin)
+	permitted := slices.DeleteFunc(versions, func(v uint64) bool { return v < required })
 	if r.Outcome == Unrouted && strings.HasPrefix(r.Path, "/v") {
-		for v := uint64(1); v <= overdue; v++ {
+		for v := uint64(1); v <= required; v++ {
 			if r.Path == prefixOfVersion(v) {
 				return finding(AppliedInTime, r, "no route for %s, although version %d had to be applied", r.Path, v)
 			}
 		}
 	}
 	for _, run := range x.runs[r.ID] {
-		if r.Path == prefixMoving && !slices.Contains(allowedServices(r.Path, applied), run.Service) {
-			return finding(AppliedInTime, r, "ran at %s, routed by a version older than %d", run.Service, overdue)
+		if r.Path == prefixMoving && !slices.Contains(allowedServices(r.Path, permitted), run.Service) {
+			return finding(AppliedInTime, r, "ran at %s, routed by a version older than %d", run.Service, required)
 		}
 	}
 	return nil
@@ -277,9 +277,9 @@
 	return first, further
 }
 
-func countBetween(moments []time.Duration, from, to time.Duration) int {
+func countBetween(times []time.Duration, from, to time.Duration) int {
 	count := 0
-	for _, at := range moments {
+	for _, at := range times {
 		if at > from && at <= to {
 			count++
 		}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -39,7 +39,8 @@
 }
 
 // affects reports whether an event disturbs a VM. Publishing and reloading disturb
-// none. A planned replacement disturbs only the VM whose process is replaced.
+// none, store faults and an overloaded service disturb all. Other events, also the
+// planned replacement of a process, disturb the VM on which they occur.
 func (e *Event) affects(vm int) bool {
 	switch e.Kind {
 	case Publish, PublishBurst, ReloadNode:
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -19,7 +19,7 @@
 
 // Parameters of faults.
 const (
-	// restartDelay is the time between the end of a process and its restart.
+	// restartDelay is the time between the end of a node's process and its restart.
 	restartDelay = 300 * time.Millisecond
 	// linkDelay is the added delay of a slow link: far above a round trip and far
 	// below every deadline.
--- a/internal/soak/relay.go
+++ b/internal/soak/relay.go
@@ -119,8 +119,8 @@
 	r.track(client, server)
 	defer r.closeConns(client, server)
 	var copying sync.WaitGroup
-	copying.Go(func() { r.copy(server, client, func(h LinkFault) bool { return h.HoldForward }, func() {}) })
-	copying.Go(func() { r.copy(client, server, func(h LinkFault) bool { return h.HoldBack }, r.checkServer) })
+	copying.Go(func() { r.copy(server, client, func(fault LinkFault) bool { return fault.HoldForward }, func() {}) })
+	copying.Go(func() { r.copy(client, server, func(fault LinkFault) bool { return fault.HoldBack }, r.checkServer) })
 	copying.Wait()
 }
 
@@ -183,8 +183,8 @@
 const serverPollInterval = 10 * time.Millisecond
 
 // stopListening stops listening while the server doesn't listen, so that clients are
-// refused as they would be without a relay. It does nothing for other errors than a
-// refused connection.
+// refused as they would be without a relay. It does nothing unless err is a refused
+// connection.
 func (r *Relay) stopListening(err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
