--- a/cmd/standin-target/main.go
+++ b/cmd/standin-target/main.go
@@ -1,5 +1,4 @@
-// Command standin-target runs the stand-in for a target, for tests and the
-// demo only.
+// Command standin-target runs a fake target, for tests and the demo only.
 package main
 
 import (
@@ -21,7 +20,7 @@
 	var mode target.Mode
 	command := &cobra.Command{
 		Use:   "standin-target --listen IP:PORT",
-		Short: "Stand in for a target with slots and an execution ledger",
+		Short: "Run a fake target with slots and an execution ledger",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			upstream := target.New(slots, mode)
@@ -38,9 +37,9 @@
 		},
 	}
 	command.Flags().StringVar(&listen, "listen", "127.0.0.1:9000", "address to listen on")
-	command.Flags().StringVar(&ledger, "ledger", "", "file that gets each run as it starts")
-	command.Flags().IntVar(&slots, "slots", 12, "requests that run at a time")
-	command.Flags().IntVar(&mode.ServiceMS, "service-ms", 5, "time that each request runs")
+	command.Flags().StringVar(&ledger, "ledger", "", "file to which each run is appended when it starts")
+	command.Flags().IntVar(&slots, "slots", 12, "number of requests that run at a time")
+	command.Flags().IntVar(&mode.ServiceMS, "service-ms", 5, "time that each request takes, in milliseconds")
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/cmd/tamarackctl/main.go
+++ b/cmd/tamarackctl/main.go
@@ -1,4 +1,4 @@
-// Command tamarackctl is the operators' command line.
+// Command tamarackctl is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/tamarackd/main.go
+++ b/cmd/tamarackd/main.go
@@ -1,4 +1,5 @@
-// Command tamarackd is the one process of the system on each target VM.
+// Command tamarackd is the node process. One runs on each target VM: it serves
+// callers and distributes the configuration.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"tamarackquay/internal/adapter/settings"
 )
 
-// exitFindings is the exit code for input with findings.
+// exitFindings is the exit code for invalid settings.
 const exitFindings = 2
 
 func main() {
@@ -39,7 +40,8 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
-			// These settings are read once; see reloads.
+			// These settings are read only once, so SIGHUP gets its default action
+			// back; see reloads.
 			signal.Reset(syscall.SIGHUP)
 			loaded, found := settings.Load(file)
 			if len(found) > 0 {
@@ -56,7 +58,7 @@
 	command.Flags().StringVar(&file, "config", "", "settings file (TOML)")
 	command.Flags().BoolVar(&checkOnly, "check-config", false, "report every finding in the settings and exit")
 	command.AddCommand(newSidecarCommand())
-	// The flag exists: it was declared above.
+	// The error is impossible: the flag is declared above.
 	_ = command.MarkFlagRequired("config")
 	return command
 }
--- a/cmd/tamarackd/memory.go
+++ b/cmd/tamarackd/memory.go
@@ -5,20 +5,23 @@
 	"runtime/debug"
 )
 
-// The collector's terms. A node's live heap is small beside the memory that its
-// slot grants, and each forwarded call leaves some 10 KB of garbage: at the
-// default of 100 % the collector takes about a third of the processor time of
-// the request path. The limit makes it work harder before the slot's memory is
-// used up.
+// Garbage collector settings. The live heap of a node is small compared with the
+// memory granted to its slot, and each forwarded call leaves about 10 KB of
+// garbage: at the default GOGC of 100 the collector takes about a third of the
+// CPU time of the request path. The memory limit makes the collector run more
+// often before the memory of the slot is used up.
 const (
-	collectPercent = 400
-	memoryLimit    = 112 << 20
+	// gcPercent is in percent of the live heap, as GOGC.
+	gcPercent = 400
+	// memoryLimit is in bytes, as GOMEMLIMIT.
+	memoryLimit = 112 << 20
 )
 
-// tuneMemory sets the collector unless the operator did so in the environment.
-func tuneMemory() {
+// tuneGC applies the settings above unless the operator set GOGC or GOMEMLIMIT in
+// the environment.
+func tuneGC() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 	if os.Getenv("GOMEMLIMIT") == "" {
 		debug.SetMemoryLimit(memoryLimit)
--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -30,16 +30,17 @@
 	"tamarackquay/internal/node"
 )
 
-// Times of a planned stop.
+// Timeouts and intervals of the node process.
 const (
-	// linger is longer than callers usually leave between two requests, and
-	// short beside the time that a planned stop may take.
+	// linger is how long a stopping node goes on serving callers. It is longer
+	// than the usual pause of a caller between two requests, and short compared
+	// with the time allowed for a planned stop.
 	linger = time.Second
-	// idleGrace is how long idle connections are then left open.
+	// idleGrace is how long idle caller connections are left open after that.
 	idleGrace         = 3 * time.Second
 	closeTimeout      = 5 * time.Second
 	readHeaderTimeout = 10 * time.Second
-	idleSweep         = 15 * time.Second
+	idleSweepInterval = 15 * time.Second
 )
 
 // wallClock implements port.Clock.
@@ -47,19 +48,19 @@
 
 func (wallClock) Now() time.Time { return time.Now() }
 
-// daemon holds the parts of a running process that must be closed.
+// daemon holds the components of a running process that must be closed.
 type daemon struct {
-	log       *log.Logger
-	node      *node.Node
-	peers     *peerws.Client
-	forward   *peerforward.Client
-	callers   *callerhttp.Server
-	peerSide  *http.Server
-	operators *http.Server
+	log        *log.Logger
+	node       *node.Node
+	peers      *peerws.Client
+	forward    *peerforward.Client
+	callers    *callerhttp.Server
+	peerServer *http.Server
+	operators  *http.Server
 }
 
 func run(s settings.Settings) error {
-	tuneMemory()
+	tuneGC()
 	logger := newLogger(s)
 	for _, warning := range s.Warnings {
 		logger.Warn().Str("setting", warning.Key).Msg(warning.String())
@@ -104,7 +105,7 @@
 
 func newDaemon(s settings.Settings, logger *log.Logger, identity *peertls.Config) *daemon {
 	clock := wallClock{}
-	trail := auditlog.New(logger)
+	audit := auditlog.New(logger)
 	meter := metrics.New()
 	d := &daemon{
 		log:     logger,
@@ -117,15 +118,15 @@
 		Forward:  d.forward,
 		Target:   targethttp.New(s.Target.Address, s.Target.MaxConnections),
 		Clock:    clock,
-		Audit:    trail,
+		Audit:    audit,
 		Meter:    meter,
 		Log:      logger,
 	})
 	d.callers = callerhttp.NewServer(d.node, callerhttp.Limits{
 		HeaderBytes: s.Requests.MaxHeaderBytes, BodyBytes: s.Requests.MaxBodyBytes,
 	})
-	d.peerSide = newPeerServer(d.node, clock.Now)
-	d.operators = operatorhttp.NewServer(d.node, trail, meter)
+	d.peerServer = newPeerServer(d.node, clock.Now)
+	d.operators = operatorhttp.NewServer(d.node, audit, meter)
 	return d
 }
 
@@ -138,7 +139,7 @@
 		Seeds:        s.Peers.Seeds,
 		Heartbeat:    s.Peers.Heartbeat.Std(),
 		ListInterval: s.Platform.ListInterval.Std(),
-		Pace:         pace(s),
+		Pace:         readPacing(s),
 		Distribution: distributionConfig(s),
 		Membership:   membership.Config{SuspectAfter: s.Peers.SuspectAfter.Std(), ForgetAfter: s.Peers.ForgetAfter.Std()},
 		QueuePerSlot: s.Requests.QueuePerSlot,
@@ -149,11 +150,11 @@
 	}
 }
 
-func pace(s settings.Settings) distribution.ReadPacing {
-	pace := distribution.DefaultReadPacing()
-	pace.Readers = s.Platform.Readers
-	pace.StartSpread = s.Platform.StartSpread.Std()
-	return pace
+func readPacing(s settings.Settings) distribution.ReadPacing {
+	pacing := distribution.DefaultReadPacing()
+	pacing.Readers = s.Platform.Readers
+	pacing.StartSpread = s.Platform.StartSpread.Std()
+	return pacing
 }
 
 func distributionConfig(s settings.Settings) distribution.Config {
@@ -174,18 +175,18 @@
 func (d *daemon) listen(s settings.Settings, identity *peertls.Config, failed chan<- error) error {
 	callers, err := net.Listen("tcp", s.Listen.Callers)
 	if err != nil {
-		return errors.Wrap(err, "callers' listener")
+		return errors.Wrap(err, "callers listener")
 	}
 	peers, err := net.Listen("tcp", s.Listen.Peers)
 	if err != nil {
-		return errors.Wrap(err, "peers' listener")
+		return errors.Wrap(err, "peers listener")
 	}
 	operators, err := net.Listen("tcp", s.Listen.Operators)
 	if err != nil {
-		return errors.Wrap(err, "operators' listener")
+		return errors.Wrap(err, "operators listener")
 	}
 	go serve(d.callers.Run, callers, failed)
-	go serve(d.peerSide.Serve, tls.NewListener(peers, identity.Server), failed)
+	go serve(d.peerServer.Serve, tls.NewListener(peers, identity.Server), failed)
 	go serve(d.operators.Serve, operators, failed)
 	return nil
 }
@@ -209,53 +210,53 @@
 	}
 }
 
-// stop is the graceful shutdown: the node finishes what runs before any
-// listener is closed, so that no answer is cut.
+// stop shuts the process down gracefully: the node completes the running requests
+// before any listener is closed, so that no response is cut off.
 func (d *daemon) stop() {
 	d.log.Info().Msg("stopping")
 	d.node.Stop(context.Background())
 	if err := d.callers.StopAccepting(); err != nil {
-		d.log.Warn().Err(err).Msg("callers' listener")
+		d.log.Warn().Err(err).Msg("close callers listener")
 	}
-	d.awaitCallers()
+	d.awaitIdleCallers()
 	if err := d.callers.CloseIdle(); err != nil {
-		d.log.Warn().Err(err).Msg("idle connections closed without an answer")
+		d.log.Warn().Err(err).Msg("close idle caller connections")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	for _, server := range []*http.Server{d.callers.Server, d.peerSide, d.operators} {
+	for _, server := range []*http.Server{d.callers.Server, d.peerServer, d.operators} {
 		if err := server.Shutdown(ctx); err != nil {
-			d.log.Warn().Err(err).Msg("listener closed late")
+			d.log.Warn().Err(err).Msg("server did not shut down in time")
 		}
 	}
 	d.log.Info().Msg("stopped")
 }
 
-// awaitCallers leaves callers' open connections some time to be used once more
-// and closed with the answer.
-func (d *daemon) awaitCallers() {
+// awaitIdleCallers keeps the open connections of callers for up to idleGrace, so
+// that each can be used once more and be closed with the response.
+func (d *daemon) awaitIdleCallers() {
 	ctx, cancel := context.WithTimeout(context.Background(), idleGrace)
 	defer cancel()
 	d.callers.AwaitIdle(ctx)
 }
 
-// sweepIdle closes idle connections and takes up changed certificate files, so
-// that an authority is rotated without restarts.
+// sweepIdle periodically closes idle connections and reloads changed certificate
+// files, so that an authority can be rotated without restarts.
 func (d *daemon) sweepIdle(ctx context.Context, identity *peertls.Config) {
-	ticker := time.NewTicker(idleSweep)
+	ticker := time.NewTicker(idleSweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 			d.peers.CloseIdle()
-			d.reload(identity)
+			d.reloadCertificates(identity)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (d *daemon) reload(identity *peertls.Config) {
+func (d *daemon) reloadCertificates(identity *peertls.Config) {
 	changed, err := identity.Reload()
 	if err != nil {
 		d.log.Error().Err(err).Msg("peer certificate files can't be read; the old ones stay in use")
@@ -263,7 +264,7 @@
 	}
 	if changed {
 		d.log.Info().Msg("peer certificates changed")
-		// Open connections were proven by the old files.
+		// Open connections were authenticated with the old files.
 		d.peers.Close()
 	}
 }
--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -29,40 +29,42 @@
 	"tamarackquay/platform"
 )
 
-// Connections to other nodes and to the VM's own target.
+// Connection settings.
 var (
+	// peerConnections are to other nodes.
 	peerConnections = exchange.Options{
-		// Round trips are 40 ms at most; a VM that takes longer to open a
-		// connection is away or can't be used in time.
+		// Round trips take 40 ms at most. A VM that takes longer to accept a
+		// connection is down, or too slow to be used in time.
 		DialTimeout: 150 * time.Millisecond, IdleTimeout: 20 * time.Second,
 		SilenceTimeout: 500 * time.Millisecond, MaxIdle: 16,
 	}
-	// targetConnections are to a process on the same VM, where opening takes
-	// no time: one that doesn't answer at once is stopped or full.
+	// targetConnections are to the local target, a process on the same VM, where
+	// a connection opens at once: a target that doesn't accept is stopped or
+	// overloaded.
 	targetConnections = exchange.Options{
 		DialTimeout: 300 * time.Millisecond, IdleTimeout: 4 * time.Second,
 		SilenceTimeout: 2 * time.Second, MaxIdle: 64,
 	}
 )
 
-// Bounds of the callers' listener; the configuration's own limits are checked
-// for each request.
+// Size limits of the callers' listener. The limits of the configuration are
+// checked for each request in addition.
 const (
-	mostHeaderBytes = 64 << 10
-	mostBodyBytes   = 1 << 30
+	maxHeaderBytes = 64 << 10
+	maxBodyBytes   = 1 << 30
 )
 
-// sidecarCollectPercent keeps the heap small: memory at its peak is paid for,
-// and the live heap is a few megabytes.
-const sidecarCollectPercent = 60
+// sidecarGCPercent keeps the heap small: the platform charges for peak memory, and
+// the live heap is only a few megabytes. It is in percent, as GOGC.
+const sidecarGCPercent = 60
 
 func newSidecarCommand() *cobra.Command {
 	var options sidecarOptions
 	command := &cobra.Command{
 		Use:   "sidecar",
 		Short: "Serve callers beside a target on the users' platform",
-		Long: "Serve callers beside a target on the users' platform. The settings file is the platform's; its path\n" +
-			"stands in the environment variable " + platform.SettingsVariable + ".",
+		Long: "Serve callers beside a target on the users' platform. The platform writes the settings file; its path\n" +
+			"is read from the environment variable " + platform.SettingsVariable + ".",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			path := os.Getenv(platform.SettingsVariable)
@@ -71,7 +73,7 @@
 				return found
 			}
 			if options.halfBytes < 0 {
-				return errors.Errorf("--half-bytes is %v; a number from 0 on is wanted", options.halfBytes)
+				return errors.Errorf("--half-bytes is %v; it must not be negative", options.halfBytes)
 			}
 			return runSidecar(path, loaded, options)
 		},
@@ -80,7 +82,7 @@
 	flags.IntVar(&options.metricsPort, "metrics-port", 0, "port of the metrics page; 0 for none")
 	flags.StringVar(&options.level, "log-level", "info", "debug, info, warn or error")
 	flags.Float64Var(&options.halfBytes, "half-bytes", placement.DefaultHalfBytes,
-		"size of an answer in bytes at which leaving the failure domain weighs half as much as a late answer; 0 if bytes don't matter")
+		"response size in bytes at which leaving the failure domain costs half as much as a late response; 0 to ignore sizes")
 	return command
 }
 
@@ -90,9 +92,9 @@
 	halfBytes   float64
 }
 
-// reloads gets the platform's word that the settings have changed (SIGHUP). It is
-// set up before anything else: without a handler the signal ends the process, and
-// one that came while a node was just starting left its VM without a node.
+// reloads receives SIGHUP, by which the platform announces changed settings. It is
+// set up before anything else: without a handler the signal ends the process, and a
+// signal that arrived while a node was starting left its VM without a node.
 var reloads = notifyReload()
 
 func notifyReload() <-chan os.Signal {
@@ -101,7 +103,7 @@
 	return signals
 }
 
-// sidecar holds the parts of a running process.
+// sidecar holds the components of a running process.
 type sidecar struct {
 	settings platform.Settings
 	log      *log.Logger
@@ -111,16 +113,16 @@
 	peers    *exchange.Pool
 	target   *exchange.Pool
 	callers  *callerhttp.Server
-	// crashes is what this node knows of requests that crash targets.
-	crashes  *quarantine.SharedLedger
-	peerSide *http.Server
-	meter    *metrics.Meter
-	// picture is the last one; the follower's lock guards it.
-	picture proxy.Snapshot
+	// crashes records the requests that crashed targets.
+	crashes    *quarantine.SharedLedger
+	peerServer *http.Server
+	meter      *metrics.Meter
+	// snapshot is the last one passed to the proxy; the follower's lock guards it.
+	snapshot proxy.Snapshot
 }
 
 func runSidecar(path string, s platform.Settings, options sidecarOptions) error {
-	debug.SetGCPercent(sidecarCollectPercent)
+	debug.SetGCPercent(sidecarGCPercent)
 	c := newSidecar(s, options)
 	failed := make(chan error, 4)
 	if err := c.listen(options, failed); err != nil {
@@ -135,7 +137,7 @@
 	c.log.Info().Str("callers", s.Callers).Int("peers", s.PeerPort).Str(logfield.Service, s.Service).Str(logfield.Target, s.TargetAddress).Msg("started")
 	err := waitForStop(failed)
 	if err != nil {
-		c.log.Error().Err(err).Msg("a listener failed")
+		c.log.Error().Err(err).Msg("listener failed")
 	}
 	c.stop()
 	cancel()
@@ -168,12 +170,12 @@
 	c.follower = follow.New(follow.Config{
 		Self: peerAddress(s.IP), FailureDomain: s.FailureDomain, Region: s.Region, Regions: s.Regions,
 		PeerAddress:      func(target string) string { return peerAddress(follow.HostOf(target)) },
-		PropagationBound: inForceWithin(s),
+		PropagationBound: propagationBound(s),
 		FirstStart:       s.FirstStart,
 		Announce:         c.proxy.Ping,
-	}, platform.NewStore(s.StoreAddress, logger), feedws.NewClient(feedTransport(), c.crashes, c.proxy.CountSent), wallClock{}, logger, c.meter, c.takeView)
-	c.callers = callerhttp.NewServer(c.proxy, callerhttp.Limits{HeaderBytes: mostHeaderBytes, BodyBytes: mostBodyBytes})
-	c.peerSide = c.newPeerSide(peerAddress)
+	}, platform.NewStore(s.StoreAddress, logger), feedws.NewClient(feedTransport(), c.crashes, c.proxy.CountSent), wallClock{}, logger, c.meter, c.applyView)
+	c.callers = callerhttp.NewServer(c.proxy, callerhttp.Limits{HeaderBytes: maxHeaderBytes, BodyBytes: maxBodyBytes})
+	c.peerServer = c.newPeerServer(peerAddress)
 	return c
 }
 
@@ -183,24 +185,24 @@
 		TargetAddress: s.TargetAddress, PeerPort: s.PeerPort,
 		RetryRatio: s.RepeatRatio, RetrySlack: s.RepeatFew, RetryWindow: s.RepeatWindow,
 		HalfBytes: options.halfBytes, LinkRate: s.LinkRate,
-		DrainGrace: follow.DrainGrace(inForceWithin(s)), Seed: uint64(time.Now().UnixNano()),
+		DrainGrace: follow.DrainGrace(propagationBound(s)), Seed: uint64(time.Now().UnixNano()),
 	}
 }
 
-// inForceWithin is the shorter of the platform's bounds for what nodes learn from
-// its store; zero where it names none.
-func inForceWithin(s platform.Settings) time.Duration {
+// propagationBound returns the shorter of the platform's bounds on how long changes
+// in its store may take to reach the nodes; zero if it sets none.
+func propagationBound(s platform.Settings) time.Duration {
 	if s.DrainWithin == 0 || s.ChangeWithin == 0 {
 		return max(s.DrainWithin, s.ChangeWithin)
 	}
 	return min(s.DrainWithin, s.ChangeWithin)
 }
 
-// feedDialTimeout is long enough for a lost packet to be sent again.
+// feedDialTimeout is long enough for one lost packet to be retransmitted.
 const feedDialTimeout = 400 * time.Millisecond
 
-// feedTransport opens the connections of feeds. A feed's own beats show when it
-// has gone silent.
+// feedTransport opens the connections of feeds. It sets no read timeout: the
+// heartbeats of a feed show when the connection no longer works.
 func feedTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: feedDialTimeout}
 	return &http.Transport{DialContext: dialer.DialContext}
--- a/cmd/tamarackd/sidecar_listen.go
+++ b/cmd/tamarackd/sidecar_listen.go
@@ -14,8 +14,9 @@
 	"tamarackquay/internal/proxy"
 )
 
-// newPeerSide serves other nodes: feeds, and requests for the VM's own target.
-func (c *sidecar) newPeerSide(peerAddress func(host string) string) *http.Server {
+// newPeerServer returns the server for other nodes: feeds, and requests for the
+// local target.
+func (c *sidecar) newPeerServer(peerAddress func(host string) string) *http.Server {
 	e := echo.New()
 	e.HideBanner = true
 	e.GET(feedws.Path, echo.WrapHandler(feedws.NewHandler(c.follower, c.crashes, c.proxy.CountSent)))
@@ -42,7 +43,7 @@
 		run           func(net.Listener) error
 	}{
 		{"callers", s.Callers, c.callers.Run},
-		{"peers", net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)), c.peerSide.Serve},
+		{"peers", net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)), c.peerServer.Serve},
 		{"readiness", s.Readiness, (&http.Server{Handler: readiness, ReadHeaderTimeout: readHeaderTimeout}).Serve},
 	}
 	for _, server := range servers {
--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -15,60 +15,61 @@
 	"tamarackquay/platform"
 )
 
-// Times of the sidecar's loops.
+// Intervals of the sidecar's loops.
 const (
-	// settingsPoll is how often the settings file is looked at: it may change
+	// settingsPollInterval is how often the settings file is checked: it may change
 	// without a signal.
-	settingsPoll = 500 * time.Millisecond
-	// proxyTick is how often requests are started that time alone made room for.
-	proxyTick = 100 * time.Millisecond
-	// housekeeping is how often idle connections are closed and gauges set.
-	housekeeping = time.Second
+	settingsPollInterval = 500 * time.Millisecond
+	// proxyTickInterval is how often waiting requests are started for which capacity
+	// became free through the passing of time alone.
+	proxyTickInterval = 100 * time.Millisecond
+	// housekeepInterval is how often idle connections are closed and gauges are set.
+	housekeepInterval = time.Second
 )
 
-// takeView makes the picture that requests are routed by. What follows from the
-// targets is made anew only when they have changed: in a storm of changes of the
-// configuration they mostly have not.
-func (c *sidecar) takeView(view *mesh.View) {
+// applyView builds the snapshot that requests are routed by. The part derived from
+// the targets is rebuilt only when they have changed: in a burst of configuration
+// changes they mostly have not.
+func (c *sidecar) applyView(view *mesh.View) {
 	c.meter.Set(port.MetricConfigVersion, "", float64(view.Version()))
-	picture := c.picture
-	if picture.MembersVersion != view.MembersGeneration() {
-		picture = c.pictureOfMembers(view)
+	snapshot := c.snapshot
+	if snapshot.MembersVersion != view.MembersGeneration() {
+		snapshot = c.buildSnapshot(view)
 	}
-	picture.Table = view.Table()
-	c.picture = picture
-	c.proxy.SetSnapshot(&picture)
+	snapshot.Table = view.Table()
+	c.snapshot = snapshot
+	c.proxy.SetSnapshot(&snapshot)
 }
 
-func (c *sidecar) pictureOfMembers(view *mesh.View) proxy.Snapshot {
-	picture := proxy.Snapshot{Services: view.ReadyByService(), Local: view.MemberAt(c.settings.TargetAddress), MembersVersion: view.MembersGeneration()}
+func (c *sidecar) buildSnapshot(view *mesh.View) proxy.Snapshot {
+	snapshot := proxy.Snapshot{Services: view.ReadyByService(), Local: view.MemberAt(c.settings.TargetAddress), MembersVersion: view.MembersGeneration()}
 	hosts := make(map[string]bool, len(view.Members()))
 	for _, member := range view.Members() {
 		hosts[follow.HostOf(member.Address)] = true
 	}
-	picture.Nodes = len(hosts)
-	for service, members := range picture.Services {
+	snapshot.Nodes = len(hosts)
+	for service, members := range snapshot.Services {
 		c.meter.Set(port.MetricTargetsUsable, service, float64(len(members)))
 	}
-	return picture
+	return snapshot
 }
 
 func (c *sidecar) tick(ctx context.Context) {
-	sweep := time.Now()
-	for wait.Sleep(ctx, proxyTick) {
+	lastSweep := time.Now()
+	for wait.Sleep(ctx, proxyTickInterval) {
 		c.proxy.Tick()
-		if now := time.Now(); now.Sub(sweep) > housekeeping {
-			sweep = now
-			c.keepHouse(now)
+		if now := time.Now(); now.Sub(lastSweep) > housekeepInterval {
+			lastSweep = now
+			c.housekeep(now)
 		}
 	}
 }
 
-// keepHouse closes idle connections and brings metrics and the log up to date.
-func (c *sidecar) keepHouse(now time.Time) {
+// housekeep closes idle connections, sets the gauges and logs what was dropped.
+func (c *sidecar) housekeep(now time.Time) {
 	c.peers.CloseIdle(now)
 	c.target.CloseIdle(now)
-	c.closeOverdue(now)
+	c.closeSlowConnections(now)
 	c.proxy.LogDroppedLines()
 	if lines := c.output.TakeDropped(); lines > 0 {
 		c.meter.Count(port.MetricLinesDropped, "output", int(lines))
@@ -86,42 +87,43 @@
 	c.meter.Set(port.MetricViewAge, "", c.follower.Age().Seconds())
 }
 
-// closeOverdue ends the connections of callers that keep this node waiting for
-// longer than the configuration allows.
-func (c *sidecar) closeOverdue(now time.Time) {
+// closeSlowConnections closes the connections of callers that keep this node
+// waiting for longer than the configuration allows.
+func (c *sidecar) closeSlowConnections(now time.Time) {
 	limits := c.proxy.Limits()
-	ended, err := c.callers.CloseOverdue(now, callerhttp.Waits{Header: limits.HeaderTimeout, Idle: limits.IdleTimeout})
+	closed, err := c.callers.CloseOverdue(now, callerhttp.Waits{Header: limits.HeaderTimeout, Idle: limits.IdleTimeout})
 	if err != nil {
-		c.log.Warn().Err(err).Msg("overdue connections are left open")
+		c.log.Warn().Err(err).Msg("close slow caller connections")
 	}
-	c.meter.Count(port.MetricSlowConnections, "", ended)
+	c.meter.Count(port.MetricSlowConnections, "", closed)
 }
 
-// watchSettings takes up changed settings, on a signal and without one.
+// watchSettings reloads the settings file after a signal, or when its modification
+// time has changed.
 func (c *sidecar) watchSettings(ctx context.Context, path string) {
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	var seen time.Time
+	var lastModified time.Time
 	for {
 		select {
 		case <-reloads:
-			seen = time.Time{}
+			lastModified = time.Time{}
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 		info, err := os.Stat(path)
-		if err != nil || info.ModTime().Equal(seen) {
+		if err != nil || info.ModTime().Equal(lastModified) {
 			continue
 		}
-		seen = info.ModTime()
-		c.reload(path)
+		lastModified = info.ModTime()
+		c.reloadSettings(path)
 	}
 }
 
-// reload takes up what may change while the process runs: the service of the
-// VM's target.
-func (c *sidecar) reload(path string) {
+// reloadSettings applies the only setting that may change while the process runs:
+// the service of the VM's target.
+func (c *sidecar) reloadSettings(path string) {
 	loaded, found := platform.LoadSettings(path)
 	if len(found) > 0 {
 		c.log.Error().Err(found).Msg("changed settings are not taken up")
--- a/cmd/tamarackd/sidecar_stop.go
+++ b/cmd/tamarackd/sidecar_stop.go
@@ -10,39 +10,41 @@
 
 // Times of a planned stop.
 const (
-	// takeOut is how long after the order to stop callers may still come: the
-	// platform asks once a second and takes a node out after two misses.
-	takeOut = 2500 * time.Millisecond
-	// killMargin is kept from the end of the grace time.
+	// removalDelay is how long callers may still arrive after the signal to stop:
+	// the platform checks readiness once a second and removes a node after two
+	// failed checks.
+	removalDelay = 2500 * time.Millisecond
+	// killMargin is the part of the platform's grace period that is left unused, so
+	// that the process ends before it is killed.
 	killMargin = 700 * time.Millisecond
 )
 
-// stop is the graceful shutdown. The node says that it isn't ready, serves on
-// until the platform sends no more callers, gives its target no more work then,
-// and ends connections politely once their last answer is out.
+// stop shuts the process down gracefully. The node reports that it isn't ready and
+// goes on serving until the platform sends no more callers. Then it gives the local
+// target no more work, and closes each connection after its final response.
 func (c *sidecar) stop() {
 	begin := time.Now()
 	c.log.Info().Int64("open", c.proxy.InFlight()).Msg("stopping")
-	endsBy := begin.Add(c.settings.Grace - killMargin)
-	c.proxy.Stop(endsBy)
-	wait.Sleep(context.Background(), takeOut)
+	deadline := begin.Add(c.settings.Grace - killMargin)
+	c.proxy.Stop(deadline)
+	wait.Sleep(context.Background(), removalDelay)
 	c.proxy.StopLocal()
 	if err := c.callers.StopAccepting(); err != nil {
-		c.log.Warn().Err(err).Msg("callers' listener")
+		c.log.Warn().Err(err).Msg("close callers listener")
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), endsBy)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	for c.proxy.InFlight() > 0 && wait.Sleep(ctx, stopPoll) {
+	for c.proxy.InFlight() > 0 && wait.Sleep(ctx, drainPollInterval) {
 	}
 	if err := c.callers.CloseIdle(); err != nil {
-		c.log.Warn().Err(err).Msg("idle connections closed without an answer")
+		c.log.Warn().Err(err).Msg("close idle caller connections")
 	}
-	for _, server := range []*http.Server{c.callers.Server, c.peerSide} {
+	for _, server := range []*http.Server{c.callers.Server, c.peerServer} {
 		if err := server.Shutdown(ctx); err != nil {
-			c.log.Warn().Err(err).Msg("listener closed late")
+			c.log.Warn().Err(err).Msg("server did not shut down in time")
 		}
 	}
 }
 
-// stopPoll is how often a stopping node looks whether requests still run.
-const stopPoll = 20 * time.Millisecond
+// drainPollInterval is how often a stopping node checks for requests that still run.
+const drainPollInterval = 20 * time.Millisecond
--- a/cmd/tamarackload/main.go
+++ b/cmd/tamarackload/main.go
@@ -1,5 +1,5 @@
-// Command tamarackload measures: bounded load on entry nodes of this machine,
-// and experiments on virtual time.
+// Command tamarackload runs measurements: a bounded load on entry nodes of this
+// machine, and experiments in virtual time.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"tamarackquay/standin/target"
 )
 
-// experiments are those that 'tamarackload experiment' lists.
+// experiments are listed by 'tamarackload experiment'.
 var experiments = []experiment.Experiment{admission.Experiment{}, largeanswers.Experiment{}}
 
 func main() {
--- a/cmd/tamaracksoak/main.go
+++ b/cmd/tamaracksoak/main.go
@@ -1,5 +1,5 @@
-// Command tamaracksoak runs real nodes under injected faults and checks the
-// promises.
+// Command tamaracksoak runs real nodes under injected faults and checks that the
+// system's guarantees hold.
 package main
 
 import (
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	// A run that is broken off ends the processes that it started.
+	// An interrupted run ends the processes that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := cli.NewCommand().ExecuteContext(ctx); err != nil {
