--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain tells what follows from a contract for one request: which
-// line gave which limit, share and targets, and when such a request would be
-// refused. The package is pure.
+// Package explain explains how a contract applies to a request: its limits, share
+// and targets with the line of the contract that each comes from, and the
+// conditions on which the request would be refused. The package does no I/O.
 package explain
 
 import (
@@ -16,19 +16,20 @@
 	"tamarackquay/internal/routing"
 )
 
-// Query is the request to explain.
+// Query identifies the request to explain.
 type Query struct {
-	// Customer or Token names the contract.
+	// Customer or Token selects the contract.
 	Customer string
 	Token    string
 	// Path and Method are the request's; an empty Path explains all routes.
 	Path   string
 	Method string
-	// FailureDomain is where the request enters; empty leaves distances out.
+	// FailureDomain is where the request enters; if it is empty, distances are
+	// omitted.
 	FailureDomain string
 }
 
-// Explanation is the answer.
+// Explanation is the result.
 type Explanation struct {
 	Customer string   `json:"customer,omitempty"`
 	Location string   `json:"place,omitempty"`
@@ -36,20 +37,20 @@
 	Refused  *Refusal `json:"refused,omitempty"`
 }
 
-// CertainReason is why the request would be refused whatever the load.
+// Refusal is a refusal that doesn't depend on the load.
 type Refusal struct {
 	Reason   port.Reason `json:"reason"`
 	Detail   string      `json:"detail"`
 	Location string      `json:"place,omitempty"`
 }
 
-// Sourced is a value with the line that gave it.
+// LocatedValue is a value with the file and line that it comes from.
 type LocatedValue struct {
 	Value    string `json:"value"`
 	Location string `json:"place,omitempty"`
 }
 
-// Route is what follows for the requests of one route.
+// Route explains the requests of one route.
 type Route struct {
 	Name     string       `json:"name"`
 	Location string       `json:"place,omitempty"`
@@ -60,17 +61,17 @@
 	Stall    LocatedValue `json:"stall"`
 	Runs     LocatedValue `json:"runs"`
 	Spill    LocatedValue `json:"spill"`
-	// Share, Limit and LongLimit are in slots, of one target and of all
-	// committed ones. LongLimit is empty for routes that are not long.
+	// Share, Limit and LongLimit are in slots, both of one target and of all
+	// committed targets. LongLimit is empty for routes that are not long.
 	Share     LocatedValue `json:"share"`
 	Limit     LocatedValue `json:"limit"`
 	LongLimit LocatedValue `json:"long_limit"`
-	// Reach lists the failure domains in the order in which they are tried.
+	// Reach has the failure domains in the order in which they are tried.
 	Reach      []Domain    `json:"reach"`
 	Conditions []Condition `json:"conditions"`
 }
 
-// Domain is one failure domain's part in a route.
+// Domain describes the targets of a route in one failure domain.
 type Domain struct {
 	Name      string `json:"name"`
 	Committed int    `json:"committed"`
@@ -78,32 +79,32 @@
 	// Distance is empty when the entry's failure domain or the domain's region
 	// is not known.
 	Distance string `json:"distance,omitempty"`
-	// InReach is false when the route's spill bars the domain.
+	// InReach is false if the route's spill setting excludes the domain.
 	InReach  bool   `json:"in_reach"`
 	Location string `json:"place,omitempty"`
-	// Live lists the targets that a node sees there; nil if none was asked.
+	// Live has the live targets in a node's view; nil if Input has no members.
 	Live []string `json:"live,omitempty"`
 }
 
-// Condition is a refusal that depends on the load or state of the moment.
+// Condition is a refusal that depends on the current load or state.
 type Condition struct {
 	Reason   port.Reason `json:"reason"`
 	When     string      `json:"when"`
 	Location string      `json:"place,omitempty"`
 }
 
-// Input is what an explanation is worked out from.
+// Input is the data that an explanation is derived from.
 type Input struct {
 	Set *contract.Set
-	// Places may be nil: published versions carry no files.
+	// Locations may be nil: published versions have no source files.
 	Locations contract.Locations
-	// Members are what a node sees, or nil.
+	// Members are the members in a node's view, or nil.
 	Members []membership.Record
-	// Regions gives the region of failure domains that are known.
+	// Regions maps failure domains to their regions, as far as they are known.
 	Regions map[string]string
 }
 
-// RegionsOf reads the region of each failure domain from members.
+// RegionsOf returns the region of each failure domain that has members.
 func RegionsOf(members []membership.Record) map[string]string {
 	regions := map[string]string{}
 	for _, member := range members {
@@ -112,30 +113,30 @@
 	return regions
 }
 
-// Explain works out the answer.
+// Explain explains the query.
 func Explain(input Input, query Query) Explanation {
 	e := &explainer{Input: input, query: query}
 	index := e.contractIndex()
 	if index < 0 {
-		return Explanation{Refused: &Refusal{Reason: port.ReasonUnknownToken, Detail: e.unknownContract()}}
+		return Explanation{Refused: &Refusal{Reason: port.ReasonUnknownToken, Detail: e.unknownContractDetail()}}
 	}
-	e.terms = &input.Set.Contracts[index]
-	e.place = e.contractPlace(index)
-	answer := Explanation{Customer: e.terms.Customer, Location: e.place("customer")}
-	for i := range e.terms.Routes {
-		if e.wanted(&e.terms.Routes[i]) {
-			answer.Routes = append(answer.Routes, e.route(i))
+	e.contract = &input.Set.Contracts[index]
+	e.contractLocation = e.contractLocator(index)
+	explanation := Explanation{Customer: e.contract.Customer, Location: e.contractLocation("customer")}
+	for i := range e.contract.Routes {
+		if e.matchesQuery(&e.contract.Routes[i]) {
+			explanation.Routes = append(explanation.Routes, e.route(i))
 		}
 	}
-	answer.Refused = e.refused(answer.Routes)
-	return answer
+	explanation.Refused = e.unconditionalRefusal(explanation.Routes)
+	return explanation
 }
 
 type explainer struct {
 	Input
-	query Query
-	terms *contract.Contract
-	place func(key string) string
+	query            Query
+	contract         *contract.Contract
+	contractLocation func(key string) string
 }
 
 func (e *explainer) contractIndex() int {
@@ -148,68 +149,69 @@
 	})
 }
 
-func (e *explainer) unknownContract() string {
+func (e *explainer) unknownContractDetail() string {
 	if e.query.Token != "" {
 		return "no contract accepts this token"
 	}
 	return fmt.Sprintf("there is no contract of customer %q", e.query.Customer)
 }
 
-func (e *explainer) contractPlace(index int) func(string) string {
+func (e *explainer) contractLocator(index int) func(string) string {
 	if e.Locations == nil {
 		return func(string) string { return "" }
 	}
-	return placeText(e.Locations.Contract(index))
+	return formatLocator(e.Locations.Contract(index))
 }
 
-func (e *explainer) servicePlace(name string) func(string) string {
+func (e *explainer) serviceLocator(name string) func(string) string {
 	index := slices.IndexFunc(e.Set.Services, func(s contract.Service) bool { return s.Name == name })
 	if e.Locations == nil || index < 0 {
 		return func(string) string { return "" }
 	}
-	return placeText(e.Locations.Service(index))
+	return formatLocator(e.Locations.Service(index))
 }
 
-func placeText(place contract.Locator) func(string) string {
+func formatLocator(locate contract.Locator) func(string) string {
 	return func(key string) string {
-		file, line := place(key)
+		file, line := locate(key)
 		return fmt.Sprintf("%s:%d", file, line)
 	}
 }
 
-// wanted reports whether the query is about the route.
-func (e *explainer) wanted(route *contract.Route) bool {
+// matchesQuery reports whether the query is about the route.
+func (e *explainer) matchesQuery(route *contract.Route) bool {
 	if e.query.Path == "" {
 		return true
 	}
-	best := e.terms.Route(e.query.Path)
-	return best != nil && best.Name == route.Name
+	match := e.contract.Route(e.query.Path)
+	return match != nil && match.Name == route.Name
 }
 
-// refused finds the refusal that no change of load would lift.
-func (e *explainer) refused(routes []Route) *Refusal {
+// unconditionalRefusal returns the refusal that applies regardless of the load, or
+// nil.
+func (e *explainer) unconditionalRefusal(routes []Route) *Refusal {
 	if e.query.Path == "" {
 		return nil
 	}
 	if len(routes) == 0 {
-		return &Refusal{Reason: port.ReasonUnknownRoute, Location: e.place("customer"),
-			Detail: fmt.Sprintf("contract %s has no route for %s", e.terms.Customer, e.query.Path)}
+		return &Refusal{Reason: port.ReasonUnknownRoute, Location: e.contractLocation("customer"),
+			Detail: fmt.Sprintf("contract %s has no route for %s", e.contract.Customer, e.query.Path)}
 	}
-	route := e.terms.Route(e.query.Path)
+	route := e.contract.Route(e.query.Path)
 	if !route.AcceptsMethod(e.query.Method) {
 		return &Refusal{Reason: port.ReasonMethod, Location: routes[0].Location,
 			Detail: fmt.Sprintf("route %s does not take %s", route.Name, e.query.Method)}
 	}
-	if !slices.ContainsFunc(routes[0].Reach, func(d Domain) bool { return d.InReach && d.usable(e.Members) }) {
+	if !slices.ContainsFunc(routes[0].Reach, func(d Domain) bool { return d.InReach && d.hasTarget(e.Members) }) {
 		return &Refusal{Reason: port.ReasonNoTarget, Location: routes[0].Spill.Location,
 			Detail: fmt.Sprintf("no target of service %s within reach", route.Service)}
 	}
 	return nil
 }
 
-// usable reports whether the domain has a target: a live one if a node was
-// asked, and otherwise a committed one.
-func (d Domain) usable(members []membership.Record) bool {
+// hasTarget reports whether the domain has a target: a live one if the members are
+// known, and otherwise a committed one.
+func (d Domain) hasTarget(members []membership.Record) bool {
 	if members == nil {
 		return d.Committed > 0
 	}
@@ -217,24 +219,24 @@
 }
 
 func (e *explainer) route(index int) Route {
-	route := &e.terms.Routes[index]
-	key := func(field string) string { return e.place(fmt.Sprintf("route[%d].%s", index, field)) }
-	rank := e.terms.ClassRank(route.Class)
-	answer := Route{
+	route := &e.contract.Routes[index]
+	key := func(field string) string { return e.contractLocation(fmt.Sprintf("route[%d].%s", index, field)) }
+	rank := e.contract.ClassRank(route.Class)
+	result := Route{
 		Name: route.Name, Location: key("name"), Prefix: route.Prefix, Service: route.Service,
-		Class:    LocatedValue{fmt.Sprintf("%s, place %d of %d in the queue's order", route.Class, rank+1, len(e.terms.Classes)), key("class")},
+		Class:    LocatedValue{fmt.Sprintf("%s, place %d of %d in the queue's order", route.Class, rank+1, len(e.contract.Classes)), key("class")},
 		Deadline: LocatedValue{route.Deadline.Std().String() + " to the first byte", key("deadline")},
 		Stall:    LocatedValue{route.StallTimeout.Std().String() + " between two bytes", key("stall")},
-		Runs:     LocatedValue{runs(route), key("idempotent")},
+		Runs:     LocatedValue{executionText(route), key("idempotent")},
 		Spill:    LocatedValue{string(cmp.Or(route.Spill, contract.SpillAnywhere)), key("spill")},
 		Reach:    e.reach(route),
 	}
-	answer.Share, answer.Limit, answer.LongLimit = e.parts(route)
-	answer.Conditions = conditions(answer)
-	return answer
+	result.Share, result.Limit, result.LongLimit = e.slotLimits(route)
+	result.Conditions = loadConditions(result)
+	return result
 }
 
-func runs(route *contract.Route) string {
+func executionText(route *contract.Route) string {
 	text := "at most once; an unknown outcome is never retried"
 	if route.Idempotent {
 		text = "idempotent; may be retried on another target"
@@ -245,59 +247,60 @@
 	return text
 }
 
-// parts renders the customer's share and limits of a service in slots.
-func (e *explainer) parts(route *contract.Route) (share, limit, longLimit LocatedValue) {
-	grant, service := e.terms.Grant(route.Service), e.Set.Service(route.Service)
+// slotLimits formats the customer's share and limits of a service in slots.
+func (e *explainer) slotLimits(route *contract.Route) (share, limit, longLimit LocatedValue) {
+	grant, service := e.contract.Grant(route.Service), e.Set.Service(route.Service)
 	if grant == nil || service == nil {
-		none := LocatedValue{Value: "nothing is granted", Location: e.place("customer")}
+		none := LocatedValue{Value: "nothing is granted", Location: e.contractLocation("customer")}
 		return none, none, none
 	}
-	index := slices.IndexFunc(e.terms.Grants, func(g contract.Grant) bool { return g.Service == route.Service })
-	key := func(field string) string { return e.place(fmt.Sprintf("grant[%d].%s", index, field)) }
-	share = LocatedValue{guaranteed(grant.Share, service), key("share")}
-	limit = LocatedValue{atMost(grant.Limit, service), key("limit")}
+	index := slices.IndexFunc(e.contract.Grants, func(g contract.Grant) bool { return g.Service == route.Service })
+	key := func(field string) string { return e.contractLocation(fmt.Sprintf("grant[%d].%s", index, field)) }
+	share = LocatedValue{formatShare(grant.Share, service), key("share")}
+	limit = LocatedValue{formatLimit(grant.Limit, service), key("limit")}
 	if route.Long {
-		longLimit = LocatedValue{atMost(cmp.Or(grant.LongLimit, grant.Limit), service), key("long_limit")}
+		longLimit = LocatedValue{formatLimit(cmp.Or(grant.LongLimit, grant.Limit), service), key("long_limit")}
 	}
 	return share, limit, longLimit
 }
 
-// guaranteed renders a share: fractions of a slot count, over time.
-func guaranteed(part float64, service *contract.Service) string {
+// formatShare formats a share. Fractions of slots are shown: a share holds on
+// average over time.
+func formatShare(fraction float64, service *contract.Service) string {
 	upstreams := float64(service.CommittedUpstreams())
-	slots := part * float64(service.Slots)
+	slots := fraction * float64(service.Slots)
 	return fmt.Sprintf("%g: %.4g of %d slots at each target, %.4g of %d committed",
-		part, slots, service.Slots, slots*upstreams, service.Slots*service.CommittedUpstreams())
+		fraction, slots, service.Slots, slots*upstreams, service.Slots*service.CommittedUpstreams())
 }
 
-// atMost renders a limit as targets keep it: in whole slots.
-func atMost(part float64, service *contract.Service) string {
-	slots := admission.FloorSlots(part, service.Slots)
+// formatLimit formats a limit in whole slots, as targets apply it.
+func formatLimit(fraction float64, service *contract.Service) string {
+	slots := admission.FloorSlots(fraction, service.Slots)
 	return fmt.Sprintf("%g: at most %d of %d slots at each target, %d of %d committed",
-		part, slots, service.Slots, slots*service.CommittedUpstreams(), service.Slots*service.CommittedUpstreams())
+		fraction, slots, service.Slots, slots*service.CommittedUpstreams(), service.Slots*service.CommittedUpstreams())
 }
 
-// reach lists the failure domains of a route's service, nearest first.
+// reach returns the failure domains of a route's service, nearest first.
 func (e *explainer) reach(route *contract.Route) []Domain {
 	service := e.Set.Service(route.Service)
 	if service == nil {
 		return nil
 	}
-	place := e.servicePlace(route.Service)
-	live := e.live(route.Service)
+	locate := e.serviceLocator(route.Service)
+	targets := e.liveTargets(route.Service)
 	var domains []Domain
-	for _, name := range e.domains(service, live) {
+	for _, name := range e.domains(service, targets) {
 		distance, known := e.distance(name)
 		domains = append(domains, Domain{
 			Name: name, Committed: service.Committed[name], Slots: service.Committed[name] * service.Slots,
 			Distance: distanceText(distance, known), InReach: !known || routing.Within(route.Spill, distance),
-			Location: place("committed." + name), Live: live[name],
+			Location: locate("committed." + name), Live: targets[name],
 		})
 	}
 	slices.SortStableFunc(domains, func(a, b Domain) int {
-		near, _ := e.distance(a.Name)
-		far, _ := e.distance(b.Name)
-		return cmp.Compare(near, far)
+		distanceA, _ := e.distance(a.Name)
+		distanceB, _ := e.distance(b.Name)
+		return cmp.Compare(distanceA, distanceB)
 	})
 	return domains
 }
@@ -309,8 +312,8 @@
 	return slices.Compact(names)
 }
 
-// live lists the live targets of a service by failure domain.
-func (e *explainer) live(service string) map[string][]string {
+// liveTargets returns the live targets of a service by failure domain.
+func (e *explainer) liveTargets(service string) map[string][]string {
 	live := map[string][]string{}
 	for _, member := range e.Members {
 		if member.State == membership.Live && member.VM.Service == service {
@@ -320,8 +323,8 @@
 	return live
 }
 
-// distance tells how far a failure domain is from where the request enters, and
-// whether that is known.
+// distance returns the distance from the failure domain where the request enters to
+// the given one, and whether it is known.
 func (e *explainer) distance(domain string) (routing.Distance, bool) {
 	if e.query.FailureDomain == "" {
 		return routing.OtherRegion, false
@@ -330,11 +333,11 @@
 		return routing.SameDomain, true
 	}
 	region, known := e.Regions[domain]
-	own, ownKnown := e.Regions[e.query.FailureDomain]
-	if !known || !ownKnown {
+	entryRegion, entryKnown := e.Regions[e.query.FailureDomain]
+	if !known || !entryKnown {
 		return routing.OtherRegion, false
 	}
-	if region == own {
+	if region == entryRegion {
 		return routing.SameRegion, true
 	}
 	return routing.OtherRegion, true
--- a/internal/explain/reason.go
+++ b/internal/explain/reason.go
@@ -6,16 +6,16 @@
 	"tamarackquay/internal/port"
 )
 
-// Meaning is what a refusal's reason tells a caller and an operator.
+// Meaning explains the reason of a refusal to a caller or an operator.
 type Meaning struct {
-	// Why says what was the case.
+	// Cause is the situation in which the request was refused.
 	Cause string `json:"why"`
-	// Do says what helps.
+	// Remedy is what the caller or operator can do.
 	Remedy string `json:"do"`
 }
 
-// meanings has every reason of package port; a test checks that none is
-// missing.
+// meanings explains every reason of package port; a test in test/docs checks that
+// none is missing.
 var meanings = map[port.Reason]Meaning{
 	port.ReasonNotReady:       {"the entry node has no current configuration yet", "try another node; see its /readyz"},
 	port.ReasonStopping:       {"the node is in a planned stop", "try another node at once"},
@@ -43,13 +43,13 @@
 	port.ReasonDuplicateCall:  {"the target's node has already taken a call of this id", "nothing to do; the first call's answer counts"},
 }
 
-// MeaningOf explains a reason; false if there is no such reason.
+// MeaningOf returns the meaning of a reason, and false if the reason is unknown.
 func MeaningOf(reason port.Reason) (Meaning, bool) {
 	meaning, ok := meanings[reason]
 	return meaning, ok
 }
 
-// Reasons lists every reason, sorted.
+// Reasons returns all reasons, sorted.
 func Reasons() []string {
 	var reasons []string
 	for reason := range meanings {
@@ -59,8 +59,8 @@
 	return reasons
 }
 
-// conditions lists the refusals that depend on the load of the moment.
-func conditions(route Route) []Condition {
+// loadConditions returns the refusals that depend on the current load.
+func loadConditions(route Route) []Condition {
 	return []Condition{
 		{port.ReasonLimit, "the customer holds its limit at the target: " + route.Limit.Value, route.Limit.Location},
 		{port.ReasonQueueFull, "all slots are in use and the customer's queue is full: requests.queue_per_slot (settings) for each slot that it is guaranteed", ""},
