--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet is a small fake of port.Peers and port.Platform in memory, for
-// focused tests of failures under testing/synctest: messages can be cut,
-// delayed and counted. It is no cluster simulator and decides nothing.
+// Package memnet is a small in-memory fake of port.Peers and port.Platform for
+// failure tests under testing/synctest. Messages can be blocked, delayed, dropped
+// and counted. It is not a cluster simulator: the tests decide what fails.
 package memnet
 
 import (
@@ -21,37 +21,37 @@
 	Messages    int
 	Bytes       int
 	CrossRegion int
-	// Control is the part of Bytes that carries versions, without membership.
-	// CrossControl is its part between regions.
+	// Control counts the bytes of messages of package distribution, without those
+	// of membership. ControlCrossRegion counts those of them sent between regions.
 	Control            int
 	ControlCrossRegion int
 }
 
-// Network connects the peers of one test. It is safe for concurrent use.
+// Network is the network of one test. It is safe for concurrent use.
 type Network struct {
-	mu       sync.Mutex
-	handlers map[string]port.PeerHandler
-	vms      map[string]membership.VM
-	cut      func(from, to membership.VM) bool
-	delay    func(from, to membership.VM) time.Duration
-	lose     func(from, to membership.VM, message port.Message) bool
-	traffic  Traffic
-	sent     map[string]int
+	mu          sync.Mutex
+	handlers    map[string]port.PeerHandler
+	vms         map[string]membership.VM
+	partitioned func(from, to membership.VM) bool
+	delay       func(from, to membership.VM) time.Duration
+	lost        func(from, to membership.VM, message port.Message) bool
+	traffic     Traffic
+	bytesSent   map[string]int
 }
 
-// New returns a network without peers, cuts or delays.
+// New returns a network without peers, partitions, delays or losses.
 func New() *Network {
 	return &Network{
-		handlers: map[string]port.PeerHandler{},
-		vms:      map[string]membership.VM{},
-		cut:      func(membership.VM, membership.VM) bool { return false },
-		delay:    func(membership.VM, membership.VM) time.Duration { return 0 },
-		lose:     func(membership.VM, membership.VM, port.Message) bool { return false },
-		sent:     map[string]int{},
+		handlers:    map[string]port.PeerHandler{},
+		vms:         map[string]membership.VM{},
+		partitioned: func(membership.VM, membership.VM) bool { return false },
+		delay:       func(membership.VM, membership.VM) time.Duration { return 0 },
+		lost:        func(membership.VM, membership.VM, port.Message) bool { return false },
+		bytesSent:   map[string]int{},
 	}
 }
 
-// Attach connects a peer at its address; it replaces whoever was there.
+// Attach connects a peer at its address and replaces the previous peer there.
 func (n *Network) Attach(vm membership.VM, handler port.PeerHandler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,35 +59,35 @@
 	n.vms[vm.PeerAddress] = vm
 }
 
-// Detach takes a peer off the network, as a kill does.
+// Detach removes a peer from the network, as if its process was killed.
 func (n *Network) Detach(vm membership.VM) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.handlers, vm.PeerAddress)
 }
 
-// Cut sets which pairs of peers can't reach each other.
-func (n *Network) SetPartition(cut func(from, to membership.VM) bool) {
+// SetPartition sets which pairs of peers can't reach each other.
+func (n *Network) SetPartition(partitioned func(from, to membership.VM) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.partitioned = partitioned
 }
 
-// Lose sets which messages are lost on their way.
-func (n *Network) SetLoss(lose func(from, to membership.VM, message port.Message) bool) {
+// SetLoss sets which messages are lost in transit.
+func (n *Network) SetLoss(lost func(from, to membership.VM, message port.Message) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lose = lose
+	n.lost = lost
 }
 
-// Delay sets how long a message takes one way.
+// SetDelay sets the one-way delay of messages.
 func (n *Network) SetDelay(delay func(from, to membership.VM) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-// Traffic returns the counts so far and starts them anew.
+// TakeTraffic returns the counts so far and resets them.
 func (n *Network) TakeTraffic() Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -96,18 +96,18 @@
 	return traffic
 }
 
-// SentBy returns the bytes that each VM sent so far, by id.
+// BytesSent returns the bytes that each VM has sent so far, by VM id.
 func (n *Network) BytesSent() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	sent := make(map[string]int, len(n.sent))
-	for id, bytes := range n.sent {
+	sent := make(map[string]int, len(n.bytesSent))
+	for id, bytes := range n.bytesSent {
 		sent[id] = bytes
 	}
 	return sent
 }
 
-// Peers returns the network as the VM sees it.
+// Peers returns the port through which the VM sends messages.
 func (n *Network) Peers(self membership.VM) port.Peers { return &peers{network: n, self: self} }
 
 type peers struct {
@@ -121,23 +121,23 @@
 	return err
 }
 
-// Ask implements port.Peers.
+// Request implements port.Peers.
 func (p *peers) Request(ctx context.Context, to membership.VM, message port.Message) (port.Message, error) {
-	handler, there, err := p.network.carry(ctx, p.self, to.PeerAddress, message)
+	handler, receiver, err := p.network.deliver(ctx, p.self, to.PeerAddress, message)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := handler.Handle(ctx, message)
-	if err != nil || answer == nil {
+	response, err := handler.Handle(ctx, message)
+	if err != nil || response == nil {
 		return nil, err
 	}
-	_, _, err = p.network.carry(ctx, there, p.self.PeerAddress, answer)
-	return answer, err
+	_, _, err = p.network.deliver(ctx, receiver, p.self.PeerAddress, response)
+	return response, err
 }
 
-// carry takes one message one way: it counts it, waits the delay and finds who
-// is there when it arrives.
-func (n *Network) carry(ctx context.Context, from membership.VM, address string, message port.Message) (port.PeerHandler, membership.VM, error) {
+// deliver transports a message in one direction: it waits for the delay, counts the
+// message, and returns the peer that is at the address on arrival.
+func (n *Network) deliver(ctx context.Context, from membership.VM, address string, message port.Message) (port.PeerHandler, membership.VM, error) {
 	size, err := peerws.EncodedSize(message)
 	if err != nil {
 		return nil, membership.VM{}, err
@@ -147,37 +147,38 @@
 	delay := n.delay(from, to)
 	n.mu.Unlock()
 	if !wait.Sleep(ctx, delay) {
-		return nil, to, errors.Wrap(port.ErrUnreachable, "the asker gave up")
+		return nil, to, errors.Wrap(port.ErrUnreachable, "context of the sender ended")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	handler := n.handlers[address]
-	if handler == nil || n.cut(from, to) || n.lose(from, to, message) {
+	if handler == nil || n.partitioned(from, to) || n.lost(from, to, message) {
 		return nil, to, errors.Wrap(port.ErrUnreachable, address)
 	}
 	n.count(from, to, message, size)
 	return handler, to, nil
 }
 
-// count adds a message to the traffic; the caller holds mu.
+// count adds a message to the traffic. The caller must hold mu.
 func (n *Network) count(from, to membership.VM, message port.Message, size int) {
-	crosses := from.Region != to.Region
+	crossRegion := from.Region != to.Region
 	n.traffic.Messages++
 	n.traffic.Bytes += size
-	n.sent[from.ID] += size
-	if crosses {
+	n.bytesSent[from.ID] += size
+	if crossRegion {
 		n.traffic.CrossRegion += size
 	}
 	if !carriesVersions(message) {
 		return
 	}
 	n.traffic.Control += size
-	if crosses {
+	if crossRegion {
 		n.traffic.ControlCrossRegion += size
 	}
 }
 
-// carriesVersions tells the messages of distribution from those of membership.
+// carriesVersions reports whether the message is one of distribution rather than of
+// membership.
 func carriesVersions(message port.Message) bool {
 	switch message.(type) {
 	case port.Announce, port.ManifestRequest, port.ManifestReply, port.PartsRequest, port.PartsReply, port.Busy:
--- a/standin/memnet/platform.go
+++ b/standin/memnet/platform.go
@@ -12,37 +12,37 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// WatchWait is how long the platform lets a watch wait for news.
+// WatchWait is how long a watch waits for a change.
 const WatchWait = 20 * time.Second
 
-// Platform is a platform in memory. It is safe for concurrent use.
+// Platform is an in-memory platform. It is safe for concurrent use.
 type Platform struct {
-	mu       sync.Mutex
-	manifest port.Value
-	parts    snapshot.Parts
-	vms      []membership.Record
-	changed  chan struct{}
-	down     bool
-	cut      func(vm membership.VM) bool
-	delay    func(vm membership.VM) time.Duration
-	reads    Reads
-	second   time.Time
-}
-
-// Reads counts what was asked of the platform. Each call is one read, a
-// waiting watch too.
+	mu            sync.Mutex
+	manifest      port.Value
+	parts         snapshot.Parts
+	vms           []membership.Record
+	changed       chan struct{}
+	down          bool
+	partitioned   func(vm membership.VM) bool
+	delay         func(vm membership.VM) time.Duration
+	reads         Reads
+	currentSecond time.Time
+}
+
+// Reads counts the reads from the platform. Each call is one read, also a watch that
+// waits.
 type Reads struct {
 	Total, Manifests, Watches, Parts, Lists int
-	// Peak is the most reads that began within one second of the clock.
+	// Peak is the maximum number of reads started within one second of the clock.
 	Peak int
-	// Bytes is the content sent; CrossRegion the part of it that went to VMs
-	// outside the region HomeRegion.
+	// Bytes is the size of the content sent, CrossRegion of the part sent to VMs
+	// outside HomeRegion.
 	Bytes, CrossRegion int
 
 	inSecond int
 }
 
-// HomeRegion is where the stand-in counts the platform to be.
+// HomeRegion is the region of the platform.
 const HomeRegion = "region-0"
 
 var _ port.Platform = (*Platform)(nil)
@@ -51,13 +51,14 @@
 func NewPlatform() *Platform {
 	return &Platform{
 		parts: snapshot.Parts{}, changed: make(chan struct{}),
-		cut:   func(membership.VM) bool { return false },
-		delay: func(membership.VM) time.Duration { return 0 },
+		partitioned: func(membership.VM) bool { return false },
+		delay:       func(membership.VM) time.Duration { return 0 },
 	}
 }
 
-// Publish puts a publication out, whatever its version: operators can make
-// mistakes, and a restored platform serves old versions again.
+// Publish replaces the published version without checking that the new one is
+// newer: operators make mistakes, and a restored platform serves old versions
+// again.
 func (p *Platform) Publish(publication *snapshot.Publication) error {
 	raw, err := publication.Manifest.Encode()
 	if err != nil {
@@ -69,12 +70,12 @@
 		p.parts[hash] = part
 	}
 	p.manifest = port.Value{Revision: p.manifest.Revision + 1, Content: raw}
-	p.wake()
+	p.notifyWatches()
 	return nil
 }
 
-// Restore puts the platform back to an older copy: the publication is served
-// under the revision that the copy had.
+// Restore restores the platform from an older copy: it serves the publication under
+// the revision of the copy.
 func (p *Platform) Restore(publication *snapshot.Publication, revision uint64) error {
 	p.mu.Lock()
 	p.manifest.Revision = revision - 1
@@ -82,64 +83,64 @@
 	return p.Publish(publication)
 }
 
-// LosePart takes a part away, as an operator does who publishes the manifest
-// before its parts.
+// DeletePart removes a part, as if an operator had published the manifest before its
+// parts.
 func (p *Platform) DeletePart(hash snapshot.Hash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.parts, hash)
 }
 
-// PutPart stores a part under a hash, right or wrong.
+// PutPart stores a part under a hash, which need not match the content.
 func (p *Platform) PutPart(hash snapshot.Hash, raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.parts[hash] = raw
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// SetDown makes every read fail, or heals the platform.
+// SetDown sets whether every read fails.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.notifyWatches()
 }
 
-// Cut sets which VMs can't reach the platform.
-func (p *Platform) SetPartition(cut func(vm membership.VM) bool) {
+// SetPartition sets which VMs can't reach the platform.
+func (p *Platform) SetPartition(partitioned func(vm membership.VM) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut = cut
-	p.wake()
+	p.partitioned = partitioned
+	p.notifyWatches()
 }
 
-// Delay sets how long a read takes there and back.
+// SetDelay sets the round-trip delay of reads.
 func (p *Platform) SetDelay(delay func(vm membership.VM) time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = delay
 }
 
-// SetVMs changes the VM list.
+// SetVMs replaces the VM list.
 func (p *Platform) SetVMs(vms []membership.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms = vms
 }
 
-// Reads returns how many reads and bytes were asked so far.
+// Reads returns the number of reads and of bytes sent so far.
 func (p *Platform) Reads() (reads, bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads.Total, p.reads.Bytes
 }
 
-// TakeReads returns the counts so far and starts them anew.
+// TakeReads returns the counts so far and resets them.
 func (p *Platform) TakeReads() Reads {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +149,7 @@
 	return reads
 }
 
-// For returns the platform as one VM sees it.
+// For returns the platform port of one VM.
 func (p *Platform) For(vm membership.VM) port.Platform { return &view{platform: p, vm: vm} }
 
 // Manifest implements port.Platform.
@@ -171,12 +172,13 @@
 	return p.For(membership.VM{}).VMs(ctx)
 }
 
-// begin counts a read; the caller holds mu.
-func (p *Platform) begin(vm membership.VM, kind *int) error {
+// beginRead counts a read and checks that the platform is reachable. The caller must
+// hold mu.
+func (p *Platform) beginRead(vm membership.VM, kind *int) error {
 	*kind++
 	p.reads.Total++
-	if second := time.Now().Truncate(time.Second); !second.Equal(p.second) {
-		p.second, p.reads.inSecond = second, 0
+	if second := time.Now().Truncate(time.Second); !second.Equal(p.currentSecond) {
+		p.currentSecond, p.reads.inSecond = second, 0
 	}
 	p.reads.inSecond++
 	p.reads.Peak = max(p.reads.Peak, p.reads.inSecond)
@@ -184,14 +186,14 @@
 }
 
 func (p *Platform) reachable(vm membership.VM) error {
-	if p.down || p.cut(vm) {
-		return errors.Wrap(port.ErrUnreachable, "platform can't be reached")
+	if p.down || p.partitioned(vm) {
+		return errors.Wrap(port.ErrUnreachable, "platform unreachable")
 	}
 	return nil
 }
 
-// send counts content on its way; the caller holds mu.
-func (p *Platform) send(vm membership.VM, size int) {
+// countBytes counts content that is sent. The caller must hold mu.
+func (p *Platform) countBytes(vm membership.VM, size int) {
 	p.reads.Bytes += size
 	if vm.Region != "" && vm.Region != HomeRegion {
 		p.reads.CrossRegion += size
--- a/standin/memnet/view.go
+++ b/standin/memnet/view.go
@@ -10,13 +10,14 @@
 	"tamarackquay/internal/wait"
 )
 
-// view is the platform as one VM sees it: with that VM's cuts and delays.
+// view is a VM's connection to the platform, with the partition and delay of that
+// VM.
 type view struct {
 	platform *Platform
 	vm       membership.VM
 }
 
-func (v *view) travel(ctx context.Context) {
+func (v *view) applyDelay(ctx context.Context) {
 	v.platform.mu.Lock()
 	delay := v.platform.delay(v.vm)
 	v.platform.mu.Unlock()
@@ -25,52 +26,53 @@
 
 // Manifest implements port.Platform.
 func (v *view) Manifest(ctx context.Context) (port.Value, error) {
-	v.travel(ctx)
+	v.applyDelay(ctx)
 	p := v.platform
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.begin(v.vm, &p.reads.Manifests); err != nil {
+	if err := p.beginRead(v.vm, &p.reads.Manifests); err != nil {
 		return port.Value{}, err
 	}
 	if p.manifest.Revision == 0 {
 		return port.Value{}, port.ErrNotFound
 	}
-	p.send(v.vm, len(p.manifest.Content))
+	p.countBytes(v.vm, len(p.manifest.Content))
 	return p.manifest, nil
 }
 
 // WatchManifest implements port.Platform.
 func (v *view) WatchManifest(ctx context.Context, after uint64) (port.Value, error) {
-	v.travel(ctx)
+	v.applyDelay(ctx)
 	p := v.platform
-	end := time.NewTimer(WatchWait)
-	defer end.Stop()
+	timeout := time.NewTimer(WatchWait)
+	defer timeout.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.begin(v.vm, &p.reads.Watches); err != nil {
+	if err := p.beginRead(v.vm, &p.reads.Watches); err != nil {
 		return port.Value{}, err
 	}
 	for p.manifest.Revision <= after {
-		if !v.wait(ctx, end) {
+		if !v.wait(ctx, timeout) {
 			return port.Value{}, port.ErrUnchanged
 		}
 		if err := p.reachable(v.vm); err != nil {
 			return port.Value{}, err
 		}
 	}
-	p.send(v.vm, len(p.manifest.Content))
+	p.countBytes(v.vm, len(p.manifest.Content))
 	return p.manifest, nil
 }
 
-// wait gives up mu until something changed; it reports whether something did.
-func (v *view) wait(ctx context.Context, end *time.Timer) bool {
+// wait releases mu until the platform changes. It returns false if ctx or the
+// timeout ends first.
+func (v *view) wait(ctx context.Context, timeout *time.Timer) bool {
 	changed := v.platform.changed
 	v.platform.mu.Unlock()
 	defer v.platform.mu.Lock()
 	select {
 	case <-changed:
 		return true
-	case <-end.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return false
@@ -78,28 +80,28 @@
 
 // Part implements port.Platform.
 func (v *view) Part(ctx context.Context, hash snapshot.Hash) ([]byte, error) {
-	v.travel(ctx)
+	v.applyDelay(ctx)
 	p := v.platform
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.begin(v.vm, &p.reads.Parts); err != nil {
+	if err := p.beginRead(v.vm, &p.reads.Parts); err != nil {
 		return nil, err
 	}
 	raw, ok := p.parts[hash]
 	if !ok {
 		return nil, port.ErrNotFound
 	}
-	p.send(v.vm, len(raw))
+	p.countBytes(v.vm, len(raw))
 	return raw, nil
 }
 
 // VMs implements port.Platform.
 func (v *view) VMs(ctx context.Context) ([]membership.Record, error) {
-	v.travel(ctx)
+	v.applyDelay(ctx)
 	p := v.platform
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.begin(v.vm, &p.reads.Lists); err != nil {
+	if err := p.beginRead(v.vm, &p.reads.Lists); err != nil {
 		return nil, err
 	}
 	return p.vms, nil
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for the platform's configuration service and
-// VM list, for tests and the demo only. It speaks the published protocol and
-// can be told to misbehave in the ways that users have seen.
+// Package platform is a fake of the platform's configuration service and VM list
+// for tests and the demo. It implements the published protocol and injects faults
+// that users have seen.
 package platform
 
 import (
@@ -17,29 +17,29 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// ReadBudget is how many reads a second the platform gives all readers.
+// MaxReadsPerSecond is the rate limit of the platform for all readers together.
 const MaxReadsPerSecond = 2000
 
-// watchWait is how long a watch waits for news.
-const watchWait = 20 * time.Second
+// watchTimeout is how long a watch waits for a change.
+const watchTimeout = 20 * time.Second
 
 const manifestKey = "manifest"
 
-// Mode says how the stand-in misbehaves.
+// Mode sets the faults that are injected; the zero value sets none.
 type Mode struct {
-	// Down refuses every read.
+	// Down rejects every read.
 	Down bool `json:"down"`
-	// Stale serves what was published when the mode was set.
+	// Stale serves the values that were published when the mode was set.
 	Stale bool `json:"stale"`
-	// SlowMS delays each answer.
+	// SlowMS delays each response.
 	SlowMS int `json:"slow_ms"`
-	// CutShort ends each answer in the middle.
+	// Truncate cuts off each value after half of its bytes.
 	Truncate bool `json:"cut_short"`
 	// ListLagMS delays each change of the VM list.
 	ListLagMS int `json:"list_lag_ms"`
 }
 
-// Stats counts what readers asked.
+// Stats counts the reads. Throttled are reads that exceeded the rate limit.
 type Stats struct {
 	Reads     uint64 `json:"reads"`
 	Throttled uint64 `json:"over_budget"`
@@ -51,19 +51,19 @@
 	content  []byte
 }
 
-// Platform is the stand-in. It is safe for concurrent use.
+// Platform is a fake platform. It is safe for concurrent use.
 type Platform struct {
 	budget *rate.Limiter
 
-	reads, over, bytes atomic.Uint64
+	reads, throttled, bytes atomic.Uint64
 
-	mu       sync.Mutex
-	mode     Mode
-	values   map[string]value
-	frozen   map[string]value
-	revision uint64
-	changed  chan struct{}
-	vms      []platformhttp.Listed
+	mu          sync.Mutex
+	mode        Mode
+	values      map[string]value
+	staleValues map[string]value
+	revision    uint64
+	changed     chan struct{}
+	vms         []platformhttp.Listed
 }
 
 // New returns an empty platform.
@@ -75,7 +75,7 @@
 	}
 }
 
-// Publish takes an operator's publication: the parts first, the manifest last.
+// Publish stores a publication, the parts first and the manifest last.
 func (p *Platform) Publish(publication *snapshot.Publication) error {
 	raw, err := publication.Manifest.Encode()
 	if err != nil {
@@ -88,36 +88,36 @@
 	return nil
 }
 
-// Put stores one value as an operator would.
+// Put stores one value.
 func (p *Platform) Put(key string, content []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
 	p.values[key] = value{revision: p.revision, content: content}
-	p.wake()
+	p.notifyWatches()
 }
 
-// wake ends all waiting watches' sleep; the caller holds mu.
-func (p *Platform) wake() {
+// notifyWatches wakes all waiting watches. The caller must hold mu.
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// SetMode changes how the stand-in misbehaves.
+// SetMode replaces the mode.
 func (p *Platform) SetMode(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if mode.Stale && !p.mode.Stale {
-		p.frozen = make(map[string]value, len(p.values))
+		p.staleValues = make(map[string]value, len(p.values))
 		for key, v := range p.values {
-			p.frozen[key] = v
+			p.staleValues[key] = v
 		}
 	}
 	p.mode = mode
-	p.wake()
+	p.notifyWatches()
 }
 
-// SetVMs changes the VM list, after the lag that the mode sets.
+// SetVMs replaces the VM list after the delay set by Mode.ListLagMS.
 func (p *Platform) SetVMs(vms []platformhttp.Listed) {
 	p.mu.Lock()
 	lag := time.Duration(p.mode.ListLagMS) * time.Millisecond
@@ -131,14 +131,14 @@
 
 // Stats returns the counts so far.
 func (p *Platform) Stats() Stats {
-	return Stats{Reads: p.reads.Load(), Throttled: p.over.Load(), Bytes: p.bytes.Load()}
+	return Stats{Reads: p.reads.Load(), Throttled: p.throttled.Load(), Bytes: p.bytes.Load()}
 }
 
-// Handler serves readers under /v1 and operators and tests under /admin.
+// Handler returns the HTTP handler: /v1 for readers, /admin for operators and tests.
 func (p *Platform) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
-	readers := e.Group("/v1", p.misbehave)
+	readers := e.Group("/v1", p.injectFaults)
 	readers.GET("/config/*", p.readConfig)
 	readers.GET("/vms", p.readVMs)
 	e.PUT("/admin/config/*", p.putConfig)
@@ -148,7 +148,7 @@
 	return e
 }
 
-func (p *Platform) misbehave(next echo.HandlerFunc) echo.HandlerFunc {
+func (p *Platform) injectFaults(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		p.reads.Add(1)
 		p.mu.Lock()
@@ -161,7 +161,7 @@
 			return c.NoContent(http.StatusServiceUnavailable)
 		}
 		if !p.budget.Allow() {
-			p.over.Add(1)
+			p.throttled.Add(1)
 			return c.NoContent(http.StatusTooManyRequests)
 		}
 		return next(c)
@@ -171,7 +171,7 @@
 func (p *Platform) readConfig(c echo.Context) error {
 	key := c.Param("*")
 	after, _ := strconv.ParseUint(c.QueryParam("after"), 10, 64)
-	deadline := time.NewTimer(watchWait)
+	deadline := time.NewTimer(watchTimeout)
 	defer deadline.Stop()
 	for {
 		v, ok, changed := p.lookup(key)
@@ -206,24 +206,24 @@
 	defer p.mu.Unlock()
 	values := p.values
 	if p.mode.Stale {
-		values = p.frozen
+		values = p.staleValues
 	}
 	v, ok := values[key]
 	return v, ok, p.changed
 }
 
-// send writes a value; with CutShort it ends the connection after half of it.
+// send writes a value. With Truncate it closes the connection after half of it.
 func (p *Platform) send(c echo.Context, content []byte) error {
 	p.mu.Lock()
-	cut := p.mode.Truncate
+	truncate := p.mode.Truncate
 	p.mu.Unlock()
 	p.bytes.Add(uint64(len(content)))
-	if !cut {
+	if !truncate {
 		return c.Blob(http.StatusOK, echo.MIMEOctetStream, content)
 	}
 	c.Response().Header().Set(echo.HeaderContentLength, strconv.Itoa(len(content)))
 	c.Response().WriteHeader(http.StatusOK)
-	// The error is the point: the connection is about to be cut.
+	// The error is ignored: the connection is closed next in any case.
 	_, _ = c.Response().Write(content[:len(content)/2])
 	panic(http.ErrAbortHandler)
 }
--- a/standin/target/answer.go
+++ b/standin/target/answer.go
@@ -14,17 +14,17 @@
 	"github.com/labstack/echo/v4"
 )
 
-// answer gives an archive for paths with /archive/ in them, a receipt for
-// writes, and a small reading otherwise.
-func answer(c echo.Context, mode Mode) error {
+// writeResponse sends an archive for paths that contain /archive/, a receipt for
+// POST requests, and a small JSON document otherwise.
+func writeResponse(c echo.Context, mode Mode) error {
 	request := c.Request()
 	switch {
 	case mode.FailStatus != 0:
 		return c.String(mode.FailStatus, "failed\n")
 	case strings.Contains(request.URL.Path, "/archive/"):
-		return answerArchive(c, mode)
+		return writeArchive(c, mode)
 	case request.Method == http.MethodPost:
-		return answerReceipt(c)
+		return writeReceipt(c)
 	}
 	return c.JSON(http.StatusOK, map[string]string{
 		"path": request.URL.RequestURI(), "request_id": request.Header.Get(HeaderRequestID),
@@ -32,8 +32,8 @@
 	})
 }
 
-// answerReceipt tells the digest of what was filed.
-func answerReceipt(c echo.Context) error {
+// writeReceipt responds with the size and digest of the request body.
+func writeReceipt(c echo.Context) error {
 	digest := sha256.New()
 	size, err := io.Copy(digest, c.Request().Body)
 	if err != nil {
@@ -45,12 +45,12 @@
 	})
 }
 
-// defaultArchiveBytes is the size of an archive whose request names none.
+// defaultArchiveBytes is the size of an archive if the request gives none.
 const defaultArchiveBytes = 1 << 20
 
-// answerArchive sends bytes that follow from the path alone, so that every
-// target has the same archive under the same strong ETag, and honours ranges.
-func answerArchive(c echo.Context, mode Mode) error {
+// writeArchive sends bytes that are derived from the path alone, so that every
+// target has the same archive under the same strong ETag. It supports ranges.
+func writeArchive(c echo.Context, mode Mode) error {
 	size, err := strconv.ParseInt(c.QueryParam("bytes"), 10, 64)
 	if err != nil {
 		size = defaultArchiveBytes
@@ -66,7 +66,7 @@
 	return writer.err
 }
 
-// ArchiveDigest is the hex SHA-256 of a whole archive.
+// ArchiveDigest returns the hex SHA-256 of a complete archive.
 func ArchiveDigest(path string, size int64) string {
 	digest := sha256.New()
 	// Reading the archive can't fail.
@@ -74,10 +74,10 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// archiveBlock is the part of an archive made from one seed.
-const archiveBlock = 32 << 10
+// archiveBlockSize is the number of bytes generated from one seed.
+const archiveBlockSize = 32 << 10
 
-// archive is a deterministic io.ReadSeeker.
+// archive is an io.ReadSeeker of deterministic pseudorandom bytes.
 type archive struct {
 	seed   [32]byte
 	size   int64
@@ -95,8 +95,8 @@
 	if a.offset >= a.size {
 		return 0, io.EOF
 	}
-	a.load(a.offset / archiveBlock)
-	from := a.offset % archiveBlock
+	a.load(a.offset / archiveBlockSize)
+	from := a.offset % archiveBlockSize
 	count := copy(p, a.cached[from:])
 	count = int(min(int64(count), a.size-a.offset))
 	a.offset += int64(count)
@@ -111,7 +111,7 @@
 	for i := range 8 {
 		seed[i] ^= byte(block >> (8 * i))
 	}
-	a.cached = make([]byte, archiveBlock)
+	a.cached = make([]byte, archiveBlockSize)
 	// Reading from ChaCha8 never fails.
 	_, _ = rand.NewChaCha8(seed).Read(a.cached)
 	a.block = block
@@ -129,7 +129,7 @@
 	return offset, nil
 }
 
-// faultyWriter cuts or stalls a body where the mode says.
+// faultyWriter cuts off or stalls a body after the number of bytes set in the mode.
 type faultyWriter struct {
 	http.ResponseWriter
 	request *http.Request
@@ -143,23 +143,23 @@
 func (w *faultyWriter) Write(p []byte) (int, error) {
 	if limit := w.mode.CutBodyAfter; limit > 0 && w.sent+int64(len(p)) > limit {
 		w.cut = true
-		return w.forward(p[:max(0, limit-w.sent)], io.ErrClosedPipe)
+		return w.write(p[:max(0, limit-w.sent)], io.ErrClosedPipe)
 	}
 	if limit := w.mode.StallBodyAfter; limit > 0 && w.sent+int64(len(p)) > limit {
-		count, err := w.forward(p[:max(0, limit-w.sent)], io.ErrClosedPipe)
+		count, err := w.write(p[:max(0, limit-w.sent)], io.ErrClosedPipe)
 		http.NewResponseController(w.ResponseWriter).Flush()
 		<-w.request.Context().Done()
 		w.cut = true
 		return count, err
 	}
-	return w.forward(p, nil)
+	return w.write(p, nil)
 }
 
-func (w *faultyWriter) forward(p []byte, after error) (int, error) {
+func (w *faultyWriter) write(p []byte, next error) (int, error) {
 	count, err := w.ResponseWriter.Write(p)
 	w.sent += int64(count)
 	if err == nil {
-		err = after
+		err = next
 	}
 	if err != nil {
 		w.err = err
--- a/standin/target/clock.go
+++ b/standin/target/clock.go
@@ -6,9 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceBoot is the machine's monotonic clock, which is the same in all processes.
-// The time of day may be stepped between two readings of it: requests that were
-// answered in milliseconds were then seen to start seconds after their deadline.
+// SinceBoot returns the time on the machine's monotonic clock, which all processes
+// share. The wall clock is not used, since it may be stepped between two readings:
+// requests that were answered in milliseconds then seemed to start seconds after
+// their deadline.
 func SinceBoot() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -1,6 +1,5 @@
-// Package target is a stand-in for a target: an upstream with slots, cold
-// start, load shedding, and a ledger of what it really ran, for tests and the
-// demo only.
+// Package target is a fake target for tests and the demo: an upstream with slots,
+// cold start, load shedding, and a ledger of the requests that it ran.
 package target
 
 import (
@@ -16,38 +15,42 @@
 
 // Headers of the target's published protocol.
 const (
-	// HeaderShed set to ShedNotRun promises that a shed request did not run.
+	// HeaderShed with the value ShedNotRun guarantees that the shed request did
+	// not run.
 	HeaderShed = "Target-Shed"
 	ShedNotRun = "not-run"
-	// HeaderLoad reports "running/slots" on each answer.
+	// HeaderLoad reports "running/slots" on each response.
 	HeaderLoad = "Target-Load"
-	// HeaderRequestID is the id under which a run stands in the ledger.
+	// HeaderRequestID is the request id that the ledger records.
 	HeaderRequestID = "Tamarack-Request-Id"
-	// HeaderStartBy is the moment of SinceBoot, in milliseconds, after which a
+	// HeaderStartBy is the time of SinceBoot, in milliseconds, after which the
 	// request is shed.
 	HeaderStartBy = "Tamarack-Start-By-Ms"
 )
 
-// Mode says how the target behaves; the zero value behaves well.
+// Mode sets the faults that the target injects; the zero value sets none.
 type Mode struct {
 	// ServiceMS is how long each request runs.
 	ServiceMS int `json:"service_ms"`
-	// ColdMS is how long after the start each request takes ten times longer.
+	// ColdMS is the time after the start during which each request takes ten times
+	// as long.
 	ColdMS int `json:"cold_ms"`
-	// FailStatus, if set, is answered after running.
+	// FailStatus, if set, is the status of each response, sent after running.
 	FailStatus int `json:"fail_status"`
-	// DieBeforeAnswer runs the request and cuts the connection.
+	// AbortBeforeResponse runs the request and then closes the connection.
 	AbortBeforeResponse bool `json:"die_before_answer"`
-	// CutBodyAfter cuts an archive after this many bytes.
+	// CutBodyAfter closes the connection after this many bytes of an archive.
 	CutBodyAfter int64 `json:"cut_body_after"`
-	// StallBodyAfter stops sending an archive after this many bytes.
+	// StallBodyAfter stops sending after this many bytes of an archive and leaves
+	// the connection open.
 	StallBodyAfter int64 `json:"stall_body_after"`
 	// Draining sheds all new work.
 	Draining bool `json:"draining"`
-	// HealthLies answers "ok" whatever happens; HealthSick the opposite.
+	// ForceHealthy makes the health endpoint always respond "ok". ForceUnhealthy
+	// makes it report a failure, unless ForceHealthy is set.
 	ForceHealthy   bool `json:"health_lies"`
 	ForceUnhealthy bool `json:"health_sick"`
-	// LoadLies reports no load whatever runs.
+	// HideLoad reports zero load regardless of the running requests.
 	HideLoad bool `json:"load_lies"`
 }
 
@@ -58,24 +61,24 @@
 	Method         string    `json:"method"`
 	Path           string    `json:"path"`
 	Start          time.Time `json:"start"`
-	// StartSinceBoot is the same on the clock of SinceBoot.
+	// StartSinceBoot is the start on the clock of SinceBoot.
 	StartSinceBoot time.Duration `json:"start_since_boot"`
 	End            time.Time     `json:"end"`
-	// Whole is false for runs whose answer was cut.
+	// Complete is false for runs whose response was cut off.
 	Complete bool `json:"whole"`
 }
 
-// coldFactor is how much slower a cold target is.
+// coldFactor multiplies the service time of a cold target.
 const coldFactor = 10
 
-// Target is the stand-in. It is safe for concurrent use.
+// Target is a fake target. It is safe for concurrent use.
 type Target struct {
 	slots   int
 	started time.Time
 
-	// journal, if set, gets each entry when its run starts, so that the ledger
-	// of a killed target can still be read.
-	journal io.Writer
+	// ledgerWriter, if set, receives each entry when its run starts, so that the
+	// ledger of a killed target can still be read.
+	ledgerWriter io.Writer
 
 	mu      sync.Mutex
 	mode    Mode
@@ -83,31 +86,31 @@
 	ledger  []Entry
 }
 
-// Journal makes the target write each entry to w when its run starts, one JSON
-// object a line. It must be called before the target serves.
-func (t *Target) WriteLedgerTo(w io.Writer) { t.journal = w }
+// WriteLedgerTo makes the target write each entry to w when its run starts, as one
+// JSON object per line. It must be called before the target serves.
+func (t *Target) WriteLedgerTo(w io.Writer) { t.ledgerWriter = w }
 
-// New returns a target with the number of slots.
+// New returns a target with the given number of slots.
 func New(slots int, mode Mode) *Target {
 	return &Target{slots: slots, started: time.Now(), mode: mode}
 }
 
-// SetMode changes the behaviour.
+// SetMode replaces the mode.
 func (t *Target) SetMode(mode Mode) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mode = mode
 }
 
-// Ledger returns what ran, in the order of starts.
+// Ledger returns the runs so far, in the order in which they started.
 func (t *Target) Ledger() []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Entry(nil), t.ledger...)
 }
 
-// Handler serves callers at every path, health and load at theirs, and tests
-// under /admin.
+// Handler returns the HTTP handler: /health, /load, the endpoints for tests under
+// /admin, and callers at every other path.
 func (t *Target) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -132,14 +135,14 @@
 	t.mu.Lock()
 	mode := t.mode
 	t.mu.Unlock()
-	bad := mode.ForceUnhealthy || mode.Draining || mode.FailStatus != 0
-	if bad && !mode.ForceHealthy {
+	unhealthy := mode.ForceUnhealthy || mode.Draining || mode.FailStatus != 0
+	if unhealthy && !mode.ForceHealthy {
 		return c.String(http.StatusServiceUnavailable, "sick\n")
 	}
 	return c.String(http.StatusOK, "ok\n")
 }
 
-// Load is the body of the load endpoint.
+// Load is the response body of the load endpoint.
 type Load struct {
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
@@ -165,9 +168,9 @@
 		c.Response().Header().Set("Retry-After", "1")
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
-	whole := false
-	defer func() { t.end(index, whole) }()
-	if !t.work(c.Request(), mode) {
+	complete := false
+	defer func() { t.end(index, complete) }()
+	if !t.runService(c.Request(), mode) {
 		return nil
 	}
 	if mode.AbortBeforeResponse {
@@ -175,17 +178,17 @@
 	}
 	load := t.reportedLoad()
 	c.Response().Header().Set(HeaderLoad, strconv.Itoa(load.Running)+"/"+strconv.Itoa(load.Slots))
-	err := answer(c, mode)
-	whole = err == nil
+	err := writeResponse(c, mode)
+	complete = err == nil
 	return err
 }
 
-// begin takes a slot and opens a ledger entry, or reports that the request is
+// begin takes a slot and adds a ledger entry. It returns false if the request is
 // shed.
 func (t *Target) begin(r *http.Request) (Mode, int, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.mode.Draining || t.running >= t.slots || isLate(r) {
+	if t.mode.Draining || t.running >= t.slots || pastDeadline(r) {
 		return t.mode, 0, false
 	}
 	t.running++
@@ -198,31 +201,32 @@
 		StartSinceBoot: SinceBoot(),
 	}
 	t.ledger = append(t.ledger, entry)
-	if t.journal != nil {
-		// A ledger that can't be kept would let a test pass without proof.
-		if err := json.NewEncoder(t.journal).Encode(entry); err != nil {
+	if t.ledgerWriter != nil {
+		// With an incomplete ledger a test could pass although a run was missed.
+		if err := json.NewEncoder(t.ledgerWriter).Encode(entry); err != nil {
 			panic(err)
 		}
 	}
 	return t.mode, len(t.ledger) - 1, true
 }
 
-// isLate reports whether a request came too late to begin.
-func isLate(r *http.Request) bool {
-	by, err := strconv.ParseInt(r.Header.Get(HeaderStartBy), 10, 64)
-	return err == nil && SinceBoot().Milliseconds() > by
+// pastDeadline reports whether it is too late to start the request.
+func pastDeadline(r *http.Request) bool {
+	startBy, err := strconv.ParseInt(r.Header.Get(HeaderStartBy), 10, 64)
+	return err == nil && SinceBoot().Milliseconds() > startBy
 }
 
-func (t *Target) end(index int, whole bool) {
+func (t *Target) end(index int, complete bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
 	t.ledger[index].End = time.Now()
-	t.ledger[index].Complete = whole
+	t.ledger[index].Complete = complete
 }
 
-// work takes the service time, ended early by the caller's cancellation.
-func (t *Target) work(r *http.Request, mode Mode) bool {
+// runService waits for the service time. It returns false if the caller cancels the
+// request before.
+func (t *Target) runService(r *http.Request, mode Mode) bool {
 	duration := time.Duration(mode.ServiceMS) * time.Millisecond
 	if time.Since(t.started) < time.Duration(mode.ColdMS)*time.Millisecond {
 		duration *= coldFactor
--- a/standin/userfiles/userfiles.go
+++ b/standin/userfiles/userfiles.go
@@ -1,6 +1,6 @@
-// Package userfiles writes what the users' platform and its operators write: a
-// node's settings file and a version of the configuration. For tests and the soak
-// only.
+// Package userfiles generates the files of the users' platform and its operators for
+// tests and the soak: the settings file of a node and a version of the
+// configuration.
 package userfiles
 
 import (
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// ConfigKey is the store's key of the configuration.
+// ConfigKey is the key of the configuration in the store.
 const ConfigKey = "op/config"
 
-// Node is what one node's settings file says.
+// Node has the values of one node's settings file.
 type Node struct {
 	Name, IP, Zone, Region, Service string
-	// Target is where the VM's own target is reached; Callers and Ready are the
-	// node's own addresses.
+	// Target is the address of the local target. Callers and Ready are the
+	// addresses at which the node listens.
 	Target, Callers, Ready string
 	PeerPort               int
 	Store                  string
@@ -24,7 +24,7 @@
 	Bounds                 Bounds
 }
 
-// Bounds are the promises' figures that a node is told.
+// Bounds are the limits in a node's settings.
 type Bounds struct {
 	Grace      time.Duration
 	RetryRatio float64
@@ -33,7 +33,7 @@
 
 type object map[string]any
 
-// Settings returns the settings file.
+// Settings returns the content of the settings file.
 func (n *Node) Settings() ([]byte, error) {
 	return json.Marshal(object{
 		"Self": object{
@@ -54,32 +54,32 @@
 // Route is one route of a configuration.
 type Route struct {
 	Name, Prefix, Service string
-	// Repeatable routes may run a request more than once.
+	// Repeatable is set if requests of the route may run more than once.
 	Repeatable  bool
 	Timeout     time.Duration
 	MaxAttempts int
 }
 
-// Host is that of all routes.
+// Host is the host of all routes.
 const Host = "mesh.example"
 
 // Config returns a version of the configuration.
 func Config(version uint64, routes []Route, services []string) ([]byte, error) {
 	kinds := map[bool]string{true: "safe", false: "unsafe"}
-	written := []object{}
+	routeObjects := []object{}
 	for _, route := range routes {
-		written = append(written, object{
+		routeObjects = append(routeObjects, object{
 			"Name": route.Name, "Host": Host, "PathPrefix": route.Prefix, "Kind": kinds[route.Repeatable],
 			"Timeout": route.Timeout.String(), "TargetLatency": (route.Timeout / 4).String(), "Priority": 1,
 			"Service": route.Service, "MaxAttempts": route.MaxAttempts,
 		})
 	}
-	named := []object{}
+	serviceObjects := []object{}
 	for _, service := range services {
-		named = append(named, object{"Name": service, "HealthPath": "/health", "MaxConnections": 100})
+		serviceObjects = append(serviceObjects, object{"Name": service, "HealthPath": "/health", "MaxConnections": 100})
 	}
 	return json.Marshal(object{
-		"Version": fmt.Sprintf("%08x", version), "Routes": written, "Services": named,
+		"Version": fmt.Sprintf("%08x", version), "Routes": routeObjects, "Services": serviceObjects,
 		"Limits": object{"MaxHeaderBytes": 16384, "MaxBodyBytes": 1 << 20, "HeaderTimeout": "3000ms", "IdleTimeout": "15000ms"},
 	})
 }
--- a/standin/userstore/http.go
+++ b/standin/userstore/http.go
@@ -9,8 +9,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Paths by which targets and operators write. They are the stand-in's own: nodes
-// never call them.
+// Paths for the writes of targets, operators and tests. They are specific to this
+// fake; nodes never call them.
 const (
 	PathPut     = "/admin/put"
 	PathRenew   = "/admin/renew"
@@ -19,20 +19,20 @@
 	PathBusy    = "/admin/busy"
 )
 
-// PathProbe is answered as soon as the store serves.
+// PathProbe is a cheap read for checking whether the store serves.
 const PathProbe = "/kv-range?PathPrefix=none"
 
-// leaseCheck is how often a waiting watch looks for leases that ran out.
-const leaseCheck = 100 * time.Millisecond
+// leaseCheckInterval is how often a waiting watch checks for expired leases.
+const leaseCheckInterval = 100 * time.Millisecond
 
-type answer struct {
+type response struct {
 	Items         []Item `json:"items"`
 	Events        []Item `json:"events"`
 	HasMore       bool
 	StoreRevision uint64
 }
 
-// Handler serves the store.
+// Handler returns the HTTP handler of the store.
 func (s *Store) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -67,7 +67,8 @@
 }
 
 func millis(c echo.Context, name string) time.Duration {
-	// A missing or odd number is no time at all, which the callers check.
+	// A missing or invalid number counts as 0: a write without lease, or a watch
+	// that doesn't wait.
 	n, _ := strconv.ParseInt(c.QueryParam(name), 10, 64)
 	return time.Duration(n) * time.Millisecond
 }
@@ -77,7 +78,7 @@
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
 	items, revision := s.List(c.QueryParam("PathPrefix"))
-	return c.JSON(http.StatusOK, answer{Items: items, StoreRevision: revision})
+	return c.JSON(http.StatusOK, response{Items: items, StoreRevision: revision})
 }
 
 func (s *Store) serveWatch(c echo.Context) error {
@@ -96,11 +97,11 @@
 		}
 		left := time.Until(deadline)
 		if len(events) > 0 || left <= 0 {
-			return c.JSON(http.StatusOK, answer{Events: events, StoreRevision: revision})
+			return c.JSON(http.StatusOK, response{Events: events, StoreRevision: revision})
 		}
 		select {
 		case <-changed:
-		case <-time.After(min(left, leaseCheck)):
+		case <-time.After(min(left, leaseCheckInterval)):
 		case <-c.Request().Context().Done():
 			return c.Request().Context().Err()
 		}
--- a/standin/userstore/store.go
+++ b/standin/userstore/store.go
@@ -1,6 +1,6 @@
-// Package userstore is a stand-in for the store of the users' platform, for tests
-// and the soak only: keys with revisions, leases and a bounded history, read over
-// HTTP as nodes do and written over HTTP as targets and operators do.
+// Package userstore is a fake of the users' platform store for tests and the soak:
+// keys with revisions, leases and a history that can be compacted. Nodes read it,
+// and targets and operators write it, over HTTP.
 package userstore
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Item is one key as the store shows it.
+// Item is the state of one key in the store's responses.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -30,11 +30,11 @@
 	mu       sync.Mutex
 	revision uint64
 	records  map[string]record
-	// history holds changes in order; what is at or before dropped is forgotten.
-	history []Item
-	dropped uint64
-	changed chan struct{}
-	busy    bool
+	// history has the changes in order, without those up to compactedRevision.
+	history           []Item
+	compactedRevision uint64
+	changed           chan struct{}
+	busy              bool
 }
 
 // New returns an empty store.
@@ -42,36 +42,36 @@
 	return &Store{revision: 1, records: map[string]record{}, changed: make(chan struct{})}
 }
 
-// Put writes a key. With a ttl it is removed when it isn't written again in time.
-// It returns the revision of the change.
+// Put writes a key and returns the revision of the change. With a ttl the key is
+// removed unless it is written again or renewed in time.
 func (s *Store) Put(key string, value []byte, ttl time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	before := s.records[key]
+	previous := s.records[key]
 	s.revision++
-	next := record{Item: Item{Key: key, Value: value, Revision: s.revision, Created: before.Created}}
-	if before.Key == "" {
+	next := record{Item: Item{Key: key, Value: value, Revision: s.revision, Created: previous.Created}}
+	if previous.Key == "" {
 		next.Created = s.revision
 	}
 	if ttl > 0 {
 		next.expires = time.Now().Add(ttl)
 	}
 	s.records[key] = next
-	s.note(next.Item)
+	s.appendHistory(next.Item)
 	return s.revision
 }
 
-// Renew keeps a key for another ttl without a change, and reports whether it is
-// still there.
+// Renew extends the lease of a key by ttl from now without a new revision. It
+// reports whether the key still exists.
 func (s *Store) Renew(key string, ttl time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	kept, ok := s.records[key]
+	existing, ok := s.records[key]
 	if ok {
-		kept.expires = time.Now().Add(ttl)
-		s.records[key] = kept
+		existing.expires = time.Now().Add(ttl)
+		s.records[key] = existing
 	}
 	return ok
 }
@@ -90,17 +90,16 @@
 	}
 	delete(s.records, key)
 	s.revision++
-	s.note(Item{Key: key, Revision: s.revision, Deleted: true})
+	s.appendHistory(Item{Key: key, Revision: s.revision, Deleted: true})
 }
 
-func (s *Store) note(item Item) {
+func (s *Store) appendHistory(item Item) {
 	s.history = append(s.history, item)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire removes keys whose leases have run out. It must be called with the mutex
-// held.
+// expire removes keys whose leases have expired. The caller must hold mu.
 func (s *Store) expire() {
 	now := time.Now()
 	for _, key := range slices.Sorted(maps.Keys(s.records)) {
@@ -110,17 +109,18 @@
 	}
 }
 
-// Forget drops the history: watches from before are told so.
+// Compact drops the history. Watches from an older revision then fail with status
+// 410, those that are waiting too.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.dropped = s.revision
+	s.compactedRevision = s.revision
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetBusy makes the store turn readers away, or serve them again.
+// SetBusy sets whether the store rejects readers.
 func (s *Store) SetBusy(busy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,13 +147,14 @@
 	return items, s.revision
 }
 
-// Since returns the changes after a revision, the store's revision, and what is
-// closed at the next change. It reports false if the history is gone.
+// ChangesSince returns the changes after a revision, the current revision, and a
+// channel that is closed at the next change. It returns false if the history after
+// that revision was compacted.
 func (s *Store) ChangesSince(prefix string, after uint64) (events []Item, revision uint64, changed <-chan struct{}, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	if after < s.dropped {
+	if after < s.compactedRevision {
 		return nil, 0, nil, false
 	}
 	for _, item := range s.history {
--- a/standin/usertarget/register.go
+++ b/standin/usertarget/register.go
@@ -18,21 +18,22 @@
 
 // Registration is a target's entry in the store.
 type Registration struct {
-	// Store is where the store takes writes, an IP:port.
+	// Store is the address at which the store accepts writes, an IP:port.
 	Store string
-	// Address is where the target is reached, as the entry says.
+	// Address is the address of the target in its entry.
 	Address                 string
 	Instance, Service, Zone string
 	Slots                   int
-	// Heartbeat is the time between two renewals; the entry is removed after
-	// heartbeatsToLapse of silence.
+	// Heartbeat is the time between two renewals. The entry expires if it isn't
+	// renewed for ttlHeartbeats times as long.
 	Heartbeat time.Duration
 
 	draining atomic.Bool
 }
 
-const heartbeatsToLapse = 3
+const ttlHeartbeats = 3
 
+// entry is the value of the target's key in the store.
 type entry struct {
 	Address string
 	Info    struct {
@@ -47,21 +48,21 @@
 	Born int64 `json:"born"`
 }
 
-// Key is the store's key of an instance.
+// Key returns the key of an instance in the store.
 func Key(instance string) string { return "servers/" + instance }
 
-// Keep registers the target and renews its entry until ctx ends, also while it
-// drains. A store
-// that can't be reached is tried again; the lease says what that means.
-func (r *Registration) Run(ctx context.Context, born time.Time) {
+// Run registers the target and renews its entry until ctx ends, also while the
+// target drains. Failed requests to the store are retried at the next heartbeat; if
+// they fail for longer than the lease, the entry expires.
+func (r *Registration) Run(ctx context.Context, startTime time.Time) {
 	registered := false
 	for {
-		query := url.Values{"key": {Key(r.Instance)}, "ttl_ms": {fmt.Sprint((heartbeatsToLapse * r.Heartbeat).Milliseconds())}}
+		query := url.Values{"key": {Key(r.Instance)}, "ttl_ms": {fmt.Sprint((ttlHeartbeats * r.Heartbeat).Milliseconds())}}
 		if registered {
 			registered = r.post(ctx, userstore.PathRenew, query, nil) == nil
 		}
 		if !registered {
-			registered = r.put(ctx, born) == nil
+			registered = r.put(ctx, startTime) == nil
 		}
 		if !wait.Sleep(ctx, r.Heartbeat) {
 			return
@@ -69,30 +70,30 @@
 	}
 }
 
-// Drain says that the target is leaving.
-func (r *Registration) Drain(ctx context.Context, born time.Time) error {
+// Drain marks the target as draining in the store.
+func (r *Registration) Drain(ctx context.Context, startTime time.Time) error {
 	r.draining.Store(true)
-	return r.put(ctx, born)
+	return r.put(ctx, startTime)
 }
 
-// Remove takes the entry out.
+// Deregister removes the entry from the store.
 func (r *Registration) Deregister(ctx context.Context) error {
 	return r.post(ctx, userstore.PathDelete, url.Values{"key": {Key(r.Instance)}}, nil)
 }
 
-func (r *Registration) put(ctx context.Context, born time.Time) error {
+func (r *Registration) put(ctx context.Context, startTime time.Time) error {
 	state := "ready"
 	if r.draining.Load() {
 		state = "draining"
 	}
-	e := entry{Address: r.Address, Born: born.UnixMilli()}
+	e := entry{Address: r.Address, Born: startTime.UnixMilli()}
 	e.Info.Service, e.Info.Version, e.Info.Zone, e.Info.Slots = r.Service, "v1", r.Zone, r.Slots
 	e.Status.State, e.Status.ColdRemaining = state, "0ms"
 	value, err := json.Marshal(&e)
 	if err != nil {
 		return errors.Wrap(err, "entry")
 	}
-	query := url.Values{"key": {Key(r.Instance)}, "ttl_ms": {fmt.Sprint((heartbeatsToLapse * r.Heartbeat).Milliseconds())}}
+	query := url.Values{"key": {Key(r.Instance)}, "ttl_ms": {fmt.Sprint((ttlHeartbeats * r.Heartbeat).Milliseconds())}}
 	return r.post(ctx, userstore.PathPut, query, value)
 }
 
@@ -107,7 +108,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return errors.Errorf("the store answered %s", response.Status)
+		return errors.Errorf("store responded with status %s", response.Status)
 	}
 	return nil
 }
--- a/standin/usertarget/target.go
+++ b/standin/usertarget/target.go
@@ -1,6 +1,6 @@
-// Package usertarget is a stand-in for a target of the users' platform, for tests
-// and the soak only: slots, an instance that may be expected, a proof in each
-// answer, and a ledger of what arrived and what ran.
+// Package usertarget is a fake target of the users' platform for tests and the soak:
+// it has slots, checks the expected instance of a request, signs each response, and
+// keeps a ledger of the requests that arrived and ran.
 package usertarget
 
 import (
@@ -19,7 +19,7 @@
 	"tamarackquay/standin/target"
 )
 
-// Headers of the users' platform that a target reads or writes.
+// Headers of the users' platform that targets read or write.
 const (
 	HeaderRequestID        = "Tamarackquay-Request-Id"
 	HeaderExpectedInstance = "Tamarackquay-Expected-Instance"
@@ -30,25 +30,27 @@
 	HeaderLoad             = "Tamarackquay-Server-Load"
 )
 
-// Mode says how a target behaves; the zero value behaves well. Parts are 0 to 1.
+// Mode sets the faults that a target injects; the zero value sets none. Rates are
+// fractions from 0 to 1.
 type Mode struct {
-	// Slower multiplies the work of each request; 0 means 1.
+	// Slowdown multiplies the service time of each request; values below 1 count
+	// as 1.
 	Slowdown float64 `json:"slower"`
-	// Lose is the part of runs whose answer is lost, Cut whose answer breaks off,
-	// Shed the part of arrivals that is turned away though there is room, and Fail
-	// the part of runs that end with status 500.
+	// LossRate is the fraction of runs whose response is lost, CutRate of runs
+	// whose response is cut off, ShedRate of arrivals that are shed despite free
+	// slots, and FailureRate of runs that end with status 500.
 	LossRate    float64 `json:"lose"`
 	CutRate     float64 `json:"cut"`
 	ShedRate    float64 `json:"shed"`
 	FailureRate float64 `json:"fail"`
 }
 
-// CrashMark stands in the path of requests that crash each target that begins to run
-// them.
+// CrashMarker in the path of a request makes each target crash that starts to run
+// it.
 const CrashMarker = "crash-"
 
-// crashAfter is how long a target works on such a request before it crashes.
-const crashAfter = 30 * time.Millisecond
+// crashDelay is the time from the start of such a request to the crash.
+const crashDelay = 30 * time.Millisecond
 
 // Entry is one arrival in the ledger.
 type Entry struct {
@@ -57,18 +59,18 @@
 	Service  string `json:"service"`
 	Caller   string `json:"caller"`
 	Path     string `json:"path"`
-	// Ran is false for arrivals that were turned away.
+	// Ran is false for requests that were rejected.
 	Ran bool `json:"ran"`
-	// At is the moment on the clock that all processes of the machine share.
+	// At is the time of target.SinceBoot, which all processes of the machine share.
 	At time.Duration `json:"at"`
 }
 
-// Target is the stand-in. It is safe for concurrent use.
+// Target is a fake target. It is safe for concurrent use.
 type Target struct {
 	instance, service string
 	slots             int
-	work              time.Duration
-	// crash ends the target's process.
+	meanWork          time.Duration
+	// crash ends the process of the target.
 	crash func()
 
 	mu      sync.Mutex
@@ -78,22 +80,23 @@
 	random  *rand.Rand
 }
 
-// New returns a target whose requests take the work on average; the ledger gets
-// each arrival as it comes. Crash ends the target's process.
+// New returns a target whose requests take the time work on average. Each arrival is
+// written to the ledger at once. The function crash must end the process.
 func New(instance, service string, slots int, work time.Duration, ledger io.Writer, crash func()) *Target {
 	seed := sha256.Sum256([]byte(instance))
-	return &Target{instance: instance, service: service, slots: slots, work: work, crash: crash, ledger: json.NewEncoder(ledger), random: rand.New(rand.NewChaCha8(seed))}
+	return &Target{instance: instance, service: service, slots: slots, meanWork: work, crash: crash, ledger: json.NewEncoder(ledger), random: rand.New(rand.NewChaCha8(seed))}
 }
 
-// SetMode changes how the target behaves.
+// SetMode replaces the mode.
 func (t *Target) SetMode(mode Mode) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mode = mode
 }
 
-// Body is the answer's body for a request: its size stands in the path's query,
-// and its bytes follow from the id alone, so that callers know them.
+// Body returns the response body of a request. The bytes are derived from the
+// request id alone, so that callers can check them. The query of the request gives
+// the size.
 func Body(request string, size int) []byte {
 	block := sha256.Sum256([]byte(request))
 	text := []byte(hex.EncodeToString(block[:]))
@@ -104,41 +107,42 @@
 	return body[:size]
 }
 
-// Proof is what a target adds to its answers, so that callers can tell them from
-// others.
+// Signature returns the signature that an instance adds to its response, by which
+// callers can check that the response is from that instance and for that request.
 func Signature(instance, request string) string {
 	sum := sha256.Sum256([]byte(instance + " " + request))
 	return instance + "." + hex.EncodeToString(sum[:8])
 }
 
-// fate is what becomes of one arrival.
-type fate struct {
+// outcome is how the target handles one request.
+type outcome struct {
 	runs, lost, cut, failed bool
 	work                    time.Duration
 }
 
-// arrive writes an arrival into the ledger before anything is done for it.
-func (t *Target) arrive(r *http.Request) (fate, error) {
+// recordArrival decides the outcome of a request and writes it to the ledger before
+// the request is handled.
+func (t *Target) recordArrival(r *http.Request) (outcome, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	expected := r.Header.Get(HeaderExpectedInstance)
-	f := fate{runs: expected == "" || expected == t.instance, work: t.work}
+	o := outcome{runs: expected == "" || expected == t.instance, work: t.meanWork}
 	full := t.running >= t.slots || t.random.Float64() < t.mode.ShedRate
-	f.runs = f.runs && !full
-	f.lost = t.random.Float64() < t.mode.LossRate
-	f.cut = t.random.Float64() < t.mode.CutRate
-	f.failed = t.random.Float64() < t.mode.FailureRate
-	f.work = time.Duration(float64(t.work) * (0.5 + t.random.Float64()) * max(t.mode.Slowdown, 1))
-	if f.runs {
+	o.runs = o.runs && !full
+	o.lost = t.random.Float64() < t.mode.LossRate
+	o.cut = t.random.Float64() < t.mode.CutRate
+	o.failed = t.random.Float64() < t.mode.FailureRate
+	o.work = time.Duration(float64(t.meanWork) * (0.5 + t.random.Float64()) * max(t.mode.Slowdown, 1))
+	if o.runs {
 		t.running++
 	}
-	return f, t.ledger.Encode(Entry{
+	return o, t.ledger.Encode(Entry{
 		Request: r.Header.Get(HeaderRequestID), Instance: t.instance, Service: t.service,
-		Caller: r.Header.Get(HeaderCaller), Path: r.URL.Path, Ran: f.runs, At: target.SinceBoot(),
+		Caller: r.Header.Get(HeaderCaller), Path: r.URL.Path, Ran: o.runs, At: target.SinceBoot(),
 	})
 }
 
-func (t *Target) leave() {
+func (t *Target) release() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
@@ -152,36 +156,36 @@
 
 // ServeHTTP implements http.Handler.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// A body that breaks shows in the request's own connection.
+	// A read error is ignored: it shows on the connection of the request.
 	_, _ = io.Copy(io.Discard, r.Body)
-	f, err := t.arrive(r)
+	o, err := t.recordArrival(r)
 	if err != nil {
 		panic(err)
 	}
 	id := r.Header.Get(HeaderRequestID)
 	w.Header().Set(HeaderRequestID, id)
 	w.Header().Set(HeaderLoad, t.load())
-	if !f.runs {
-		t.turnAway(w, r)
+	if !o.runs {
+		t.reject(w, r)
 		return
 	}
-	defer t.leave()
+	defer t.release()
 	if strings.Contains(r.URL.Path, CrashMarker) {
-		time.Sleep(crashAfter)
+		time.Sleep(crashDelay)
 		t.crash()
 	}
 	select {
-	case <-time.After(f.work):
+	case <-time.After(o.work):
 	case <-r.Context().Done():
 		return
 	}
-	if f.lost {
+	if o.lost {
 		panic(http.ErrAbortHandler)
 	}
-	t.answer(w, r, id, f)
+	t.respond(w, r, id, o)
 }
 
-func (t *Target) turnAway(w http.ResponseWriter, r *http.Request) {
+func (t *Target) reject(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(HeaderNotExecuted, "1")
 	if expected := r.Header.Get(HeaderExpectedInstance); expected != "" && expected != t.instance {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -190,20 +194,20 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, id string, f fate) {
+func (t *Target) respond(w http.ResponseWriter, r *http.Request, id string, o outcome) {
 	w.Header().Set(HeaderSignature, Signature(t.instance, id))
-	if f.failed {
+	if o.failed {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	// Callers always give a size; none is an empty body.
+	// Callers always give a size; without one the body is empty.
 	size, _ := strconv.Atoi(r.URL.Query().Get("bytes"))
 	body := Body(id, size)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if f.cut {
+	if o.cut {
 		_, _ = w.Write(body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	}
-	// A caller that has gone needs no answer.
+	// An error means that the caller has disconnected and needs no response.
 	_, _ = w.Write(body)
 }
