--- a/test/process/bare_test.go
+++ b/test/process/bare_test.go
@@ -10,15 +10,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// The environment of a bare forwarder: the test's own program, started anew.
+// Environment variables of a baseline proxy, which is the test binary started as a
+// process of its own.
 const (
-	bareListen = "TAMARACK_BARE_LISTEN"
-	bareNext   = "TAMARACK_BARE_NEXT"
+	baselineListen = "TAMARACK_BARE_LISTEN"
+	baselineNext   = "TAMARACK_BARE_NEXT"
 )
 
-// serveBare is the baseline of the request path: one hop of net/http that
-// copies headers and bodies and decides nothing.
-func serveBare(listen, next string) error {
+// serveBaseline is the baseline for the cost of the request path: a plain net/http
+// proxy that only copies headers and bodies.
+func serveBaseline(listen, next string) error {
 	transport := &http.Transport{MaxIdleConnsPerHost: 100, DisableCompression: true}
 	return http.ListenAndServe(listen, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		request, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+next+r.URL.RequestURI(), r.Body)
@@ -42,15 +43,15 @@
 	}))
 }
 
-// startBare starts one bare hop to next and returns its address.
-func (f *fleet) startBare(t *testing.T, next string) (string, *process) {
+// startBaseline starts a baseline proxy in front of next and returns its address.
+func (f *fleet) startBaseline(t *testing.T, next string) (string, *process) {
 	t.Helper()
 	program, err := os.Executable()
 	assert.NilError(t, err)
 	listen := freeAddress(t)
 	command := exec.Command(program)
-	command.Env = append(os.Environ(), bareListen+"="+listen, bareNext+"="+next)
-	hop := startCommand(t, "bare hop", command)
+	command.Env = append(os.Environ(), baselineListen+"="+listen, baselineNext+"="+next)
+	hop := startCommand(t, "baseline proxy", command)
 	f.waitHTTP(listen, "/load")
 	return listen, hop
 }
--- a/test/process/contracts_test.go
+++ b/test/process/contracts_test.go
@@ -9,8 +9,8 @@
 // testToken is the caller token of the contracts under test.
 const testToken = "test-token"
 
-// testContracts is a contract modelled on the Co-operative's: readings, filings
-// that must not run twice, and archives.
+// testContracts returns contracts modelled on the Co-operative's: tallies, returns
+// that must not run twice, and archives. All routes have the given deadline.
 func testContracts(deadline string) string {
 	service := func(name string) string {
 		return fmt.Sprintf("[[service]]\nname = %q\nslots = %d\nmax_connections = 110\ncommitted = { a-1 = 2, b-1 = 2 }\n", name, slots)
--- a/test/process/control_cost_test.go
+++ b/test/process/control_cost_test.go
@@ -17,11 +17,11 @@
 	"tamarackquay/internal/port"
 )
 
-// measureVariable must be set for measurements that take minutes and whose
-// figures depend on the machine; they gate nothing.
+// measureVariable enables measurements, which take minutes. Their figures depend on
+// the machine, so no test fails because of them.
 const measureVariable = "TAMARACK_MEASURE"
 
-// The size to design for, as far as the configuration goes.
+// Size of the configuration that the system is designed for.
 const (
 	designServices  = 300
 	designDomains   = 13
@@ -29,11 +29,12 @@
 	designContracts = 300
 )
 
-// clockTicks is the kernel's USER_HZ, in which /proc gives processor time.
+// clockTicks is the kernel's USER_HZ, the unit of CPU time in /proc: ticks per
+// second.
 const clockTicks = 100
 
-// designConfiguration is a configuration of the size to design for: each
-// contract is granted two services.
+// designConfiguration returns a configuration of the design size. Each contract has
+// grants for two services.
 func designConfiguration() string {
 	var text strings.Builder
 	for i := range designServices {
@@ -52,21 +53,21 @@
 	return text.String()
 }
 
-// usage is what a process has taken so far.
+// usage is the resource usage of a process so far.
 type usage struct {
 	cpu      time.Duration
 	resident int64
-	// control is the bytes of the control connections that the node opened,
-	// both ways.
+	// control counts the bytes, in both directions, of the control connections
+	// that the node opened.
 	control float64
 }
 
-func usageOf(t *testing.T, p *process) usage {
+func readUsage(t *testing.T, p *process) usage {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	assert.NilError(t, err)
-	// The fields after the program's name, which stands in parentheses: user
-	// and system time are the 12th and 13th, resident pages the 22nd.
+	// The fields after the program name, which is in parentheses: user and system
+	// time are the 12th and 13th, resident pages the 22nd.
 	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
 	number := func(i int) int64 {
 		value, err := strconv.ParseInt(fields[i], 10, 64)
@@ -80,9 +81,9 @@
 	}
 }
 
-// The cost of control for each node, at rest, as real processes: processor
-// time and resident memory at three sizes of fleet and the configuration of
-// the size to design for. docs/CAPACITY.md works out the slopes.
+// Measures the CPU time, resident memory and control traffic of idle nodes, as real
+// processes, at several fleet sizes with the design configuration. docs/CAPACITY.md
+// derives the growth per node from the figures.
 func TestMeasureControlCost(t *testing.T) {
 	if os.Getenv(measureVariable) == "" {
 		t.Skipf("set %s=1 to measure", measureVariable)
@@ -106,9 +107,9 @@
 			}
 			f.waitVersion()
 			time.Sleep(settle)
-			before := f.usages()
+			before := f.readUsages()
 			time.Sleep(window)
-			after := f.usages()
+			after := f.readUsages()
 			var cpu time.Duration
 			var resident, most int64
 			var control float64
@@ -119,24 +120,24 @@
 				most = max(most, u.resident)
 			}
 			n := float64(count)
-			// Each connection has two ends, and each end's VM carries its bytes.
+			// The bytes of a connection count on the VMs at both ends, hence the factor 2.
 			t.Logf("nodes %d: cpu %.3f%% of a core, resident %.1f MB (at most %.1f), control %.2f KB/s in and out, a node",
 				count, 100*cpu.Seconds()/window.Seconds()/n, float64(resident)/n/1e6, float64(most)/1e6, 2*control/n/window.Seconds()/1e3)
 		})
 	}
 }
 
-func (f *fleet) usages() map[string]usage {
+func (f *fleet) readUsages() map[string]usage {
 	all := map[string]usage{}
 	for _, id := range f.order {
-		u := usageOf(f.t, f.nodes[id].process)
+		u := readUsage(f.t, f.nodes[id].process)
 		u.control = f.metric(id, string(port.MetricControlBytes))
 		all[id] = u
 	}
 	return all
 }
 
-// metric adds up the series of one metric at a node.
+// metric returns the sum of all series of a metric of a node.
 func (f *fleet) metric(id, name string) float64 {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.nodes[id].operators + "/metrics")
@@ -157,7 +158,8 @@
 	return total
 }
 
-// useDefaultTimes takes the short times of failure tests out of the settings.
+// useDefaultTimes removes the short timeouts and intervals of the failure tests from
+// the settings, so that the defaults apply.
 func (f *fleet) useDefaultTimes() {
 	f.t.Helper()
 	short := regexp.MustCompile(`(?m)^(heartbeat|suspect_after|list_interval|start_spread) = .*\n`)
--- a/test/process/crash_test.go
+++ b/test/process/crash_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Guards against a request that crashes target after target, sent at any node, and against
-// refusing those that ran beside it.
+// Guards against a request that crashes one target after another, whichever node it
+// is sent to, and against refusing requests that ran at the time of such a crash.
 func TestCrashingRequestIsContained(t *testing.T) {
 	t.Parallel()
 	addresses := strconv.Itoa(152 + 3*(os.Getpid()%30))
--- a/test/process/fleet_test.go
+++ b/test/process/fleet_test.go
@@ -28,7 +28,7 @@
 	"tamarackquay/standin/target"
 )
 
-// spec names a VM of a fleet under test.
+// spec describes a VM of a fleet under test.
 type spec struct {
 	id, domain, region, service string
 }
@@ -64,17 +64,17 @@
 	done chan struct{}
 }
 
-// slots is how many requests each target of a fleet runs at a time.
+// slots is the number of requests that each target runs at a time.
 const slots = 12
 
-// firstPort is below the range that the kernel takes for outgoing connections.
+// firstPort is below the kernel's range of ephemeral ports.
 const firstPort = 10000
 
 var (
 	nextPort atomic.Int32
-	// loopback is an address of this run's own. Ports of 127.0.0.1 are also
-	// taken by outgoing connections and by other runs on the same machine: a
-	// listener then fails with "address already in use" now and then.
+	// loopback is a loopback address used only by this test run. On 127.0.0.1,
+	// outgoing connections and other runs on the same machine take ports too, and
+	// listening failed at times with "address already in use".
 	loopback = fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>16%64, os.Getpid()>>8%256, os.Getpid()%256)
 )
 
@@ -131,7 +131,7 @@
 	}
 }
 
-// newFleet starts the platform, then a target and a node for each spec.
+// newFleet starts the platform, and then a target and a node for each spec.
 func newFleet(t *testing.T, specs ...spec) *fleet {
 	t.Helper()
 	f := newIdleFleet(t, specs...)
@@ -217,8 +217,9 @@
 	f.putJSON(f.platform, "/admin/vms", list)
 }
 
-// startNode starts a node, after the end of the one that was killed or stopped
-// in its place: while that lives on for a moment, its addresses are taken.
+// startNode starts a node. If the node ran before, it first waits until the old
+// process, which was killed or stopped, has ended: until then its addresses are in
+// use.
 func (f *fleet) startNode(id string) {
 	v := f.nodes[id]
 	if v.process != nil {
@@ -246,7 +247,7 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-// publish checks and publishes the contracts as the next revision.
+// publish validates the contracts and publishes them as the next revision.
 func (f *fleet) publish(text string) {
 	f.t.Helper()
 	set, found := contract.Parse([]contract.Source{{Name: "contracts.toml", Text: []byte(text)}})
@@ -287,7 +288,7 @@
 	f.putJSON(f.nodes[id].target, "/admin/mode", mode)
 }
 
-// ledger returns what the target of a VM ran.
+// ledger returns the runs of the target of a VM.
 func (f *fleet) ledger(id string) []target.Entry {
 	f.t.Helper()
 	var entries []target.Entry
@@ -303,8 +304,8 @@
 	assert.NilError(f.t, json.NewDecoder(response.Body).Decode(value))
 }
 
-// waitVersion waits until the nodes have the last published version in force;
-// without ids, all nodes.
+// waitVersion waits until the nodes with the ids, or all nodes if none are given,
+// have applied the last published version and are ready.
 func (f *fleet) waitVersion(ids ...string) {
 	f.t.Helper()
 	if len(ids) == 0 {
@@ -331,19 +332,19 @@
 	return status, json.NewDecoder(response.Body).Decode(&status)
 }
 
-// waitTargets waits until the node sees that many live members.
+// waitMembers waits until the node lists that many members.
 func (f *fleet) waitMembers(id string, want int) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		status, err := f.status(id)
 		if err != nil || len(status.Members) != want {
-			return poll.Continue("%s sees %d members, %v", id, len(status.Members), err)
+			return poll.Continue("%s lists %d members, %v", id, len(status.Members), err)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-// reply is what a caller got.
+// reply is the response to a caller, or the error.
 type reply struct {
 	status int
 	header http.Header
@@ -351,7 +352,7 @@
 	err    error
 }
 
-// call sends one caller's request through the entry node.
+// call sends one request through the entry node.
 func (f *fleet) call(entry, method, path, body string) reply {
 	request, err := http.NewRequest(method, "http://"+f.nodes[entry].callers+path, strings.NewReader(body))
 	if err != nil {
--- a/test/process/ledger_test.go
+++ b/test/process/ledger_test.go
@@ -24,76 +24,78 @@
 	"tamarackquay/standin/target"
 )
 
-// outcome is what a caller was told of one request.
+// outcome is the outcome of one request as reported to its caller.
 type outcome int
 
 const (
-	// answered: a whole answer that is the request's own.
+	// answered: a complete response that belongs to the request.
 	answered outcome = iota
-	// refused: the system promised that nothing ran.
+	// refused: the system guaranteed that the request did not run.
 	refused
-	// unknown: the system said so, or the answer was visibly broken.
+	// unknown: the system reported an unknown outcome, or the response was visibly
+	// broken.
 	unknown
-	// unsent: no connection could be made.
+	// unsent: no connection could be opened.
 	unsent
-	// wrong: an answer that is not the request's own, or is silently short.
+	// wrong: a response that belongs to another request, or is silently truncated.
 	wrong
 )
 
-// filing is one request with what its caller saw.
-type filing struct {
+// callRecord is one request and its outcome.
+type callRecord struct {
 	path       string
 	idempotent bool
 	start, end time.Time
-	// startSinceBoot is the start on the clock that the targets share.
+	// startSinceBoot is the start on the clock of target.SinceBoot, which the
+	// targets use too.
 	startSinceBoot time.Duration
 	outcome        outcome
 	detail         string
 }
 
-// book collects what callers were told, to be compared with what the targets
-// ran. It is safe for concurrent use.
-type book struct {
+// recorder sends requests and records their outcomes, to compare them with the
+// ledgers of the targets. It is safe for concurrent use.
+type recorder struct {
 	fleet  *fleet
 	client *http.Client
-	// deadline is that of the routes.
+	// deadline is the deadline of all routes.
 	deadline time.Duration
 
 	mu      sync.Mutex
-	filings []filing
-	// unserved counts callers' requests that no entry node served.
+	records []callRecord
+	// unserved counts the requests that no entry node served.
 	unserved atomic.Int64
 }
 
-func newBook(f *fleet, deadline time.Duration) *book {
-	// Callers give up soon after the route's deadline. What an entry node that
-	// was frozen reads after that belongs to nobody, and must not run.
-	transport := &http.Transport{MaxIdleConnsPerHost: 50, ResponseHeaderTimeout: deadline + lateBy/2}
+func newRecorder(f *fleet, deadline time.Duration) *recorder {
+	// Callers give up soon after the route's deadline. A request that a paused
+	// entry node reads after that has no caller any more and must not run.
+	transport := &http.Transport{MaxIdleConnsPerHost: 50, ResponseHeaderTimeout: deadline + startTolerance/2}
 	f.t.Cleanup(transport.CloseIdleConnections)
-	return &book{fleet: f, deadline: deadline, client: &http.Client{Transport: transport}}
+	return &recorder{fleet: f, deadline: deadline, client: &http.Client{Transport: transport}}
 }
 
-// file sends one request to an entry node and keeps what came of it.
-func (b *book) file(entry, method, path, body string) filing {
-	made := filing{path: path, idempotent: method == http.MethodGet, start: time.Now(), startSinceBoot: target.SinceBoot()}
-	made.outcome, made.detail = b.send(entry, method, path, body)
-	made.end = time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.filings = append(b.filings, made)
-	return made
+// call sends one request to an entry node and records the outcome.
+func (r *recorder) call(entry, method, path, body string) callRecord {
+	record := callRecord{path: path, idempotent: method == http.MethodGet, start: time.Now(), startSinceBoot: target.SinceBoot()}
+	record.outcome, record.detail = r.send(entry, method, path, body)
+	record.end = time.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.records = append(r.records, record)
+	return record
 }
 
-func (b *book) send(entry, method, path, body string) (outcome, string) {
-	request, err := http.NewRequest(method, "http://"+b.fleet.nodes[entry].callers+path, strings.NewReader(body))
+func (r *recorder) send(entry, method, path, body string) (outcome, string) {
+	request, err := http.NewRequest(method, "http://"+r.fleet.nodes[entry].callers+path, strings.NewReader(body))
 	if err != nil {
 		return wrong, err.Error()
 	}
-	// The caller's own net/http must not send anything twice either.
+	// Without GetBody, net/http can't resend the request by itself either.
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+testToken)
 	request.Header.Set("Idempotency-Key", path)
-	response, err := b.client.Do(request)
+	response, err := r.client.Do(request)
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
 		return unsent, err.Error()
@@ -112,11 +114,12 @@
 	case "unknown":
 		return unknown, string(content)
 	}
-	return b.judge(response, path, body, content)
+	return r.classify(response, path, body, content)
 }
 
-// judge compares an answer with what only this request's answer can hold.
-func (b *book) judge(response *http.Response, path, body string, content []byte) (outcome, string) {
+// classify checks that a response has the content that only the response to this
+// request can have.
+func (r *recorder) classify(response *http.Response, path, body string, content []byte) (outcome, string) {
 	detail := fmt.Sprintf("status %d, %d bytes", response.StatusCode, len(content))
 	if response.StatusCode >= http.StatusInternalServerError {
 		return unknown, detail
@@ -143,7 +146,7 @@
 
 func (f *fleet) ledgerFile(id string) string { return filepath.Join(f.dir, id+".ledger") }
 
-// runs returns what all targets ever ran, killed ones too, by path.
+// runs returns all runs of all targets by path, also those of killed targets.
 func (f *fleet) runs() map[string][]target.Entry {
 	f.t.Helper()
 	runs := map[string][]target.Entry{}
@@ -163,48 +166,49 @@
 	return runs
 }
 
-// lateBy allows for the time between the last look at the deadline and the
-// ledger's entry on a loaded machine.
-const lateBy = 250 * time.Millisecond
+// startTolerance allows for the time, on a loaded machine, between the last check of
+// the deadline and the ledger entry.
+const startTolerance = 250 * time.Millisecond
 
-// shownOutcomes is how many of each outcome a failed test shows.
-const shownOutcomes = 5
+// maxLoggedCalls is the number of calls logged for each outcome other than answered.
+const maxLoggedCalls = 5
 
-// check compares the book with the ledgers, logs the counts and returns them.
-func (b *book) check() map[outcome]int {
-	t := b.fleet.t
+// checkLedgers compares the recorded outcomes with the ledgers, logs the number of
+// calls by outcome and returns it.
+func (r *recorder) checkLedgers() map[outcome]int {
+	t := r.fleet.t
 	t.Helper()
-	runs := b.fleet.runs()
+	runs := r.fleet.runs()
 	counts := map[outcome]int{}
-	for _, made := range b.filings {
-		name, _, _ := strings.Cut(made.path, "?")
+	for _, record := range r.records {
+		name, _, _ := strings.Cut(record.path, "?")
 		ran := runs[name]
-		counts[made.outcome]++
-		if made.outcome != answered && counts[made.outcome] <= shownOutcomes {
-			t.Logf("%s at %s after %s: %s", made.path, made.end.Format(time.TimeOnly+".000"), made.end.Sub(made.start), made.detail)
+		counts[record.outcome]++
+		if record.outcome != answered && counts[record.outcome] <= maxLoggedCalls {
+			t.Logf("%s at %s after %s: %s", record.path, record.end.Format(time.TimeOnly+".000"), record.end.Sub(record.start), record.detail)
 		}
-		switch made.outcome {
+		switch record.outcome {
 		case wrong:
-			t.Errorf("%s: wrong answer: %s", made.path, made.detail)
+			t.Errorf("%s: wrong response: %s", record.path, record.detail)
 		case refused, unsent:
-			assert.Check(t, len(ran) == 0, "%s was refused and ran %d times: %s", made.path, len(ran), made.detail)
+			assert.Check(t, len(ran) == 0, "%s was refused, but ran %d times: %s", record.path, len(ran), record.detail)
 		case answered:
-			assert.Check(t, len(ran) >= 1, "%s was answered and never ran", made.path)
+			assert.Check(t, len(ran) >= 1, "%s was answered, but never ran", record.path)
 		}
-		assert.Check(t, made.idempotent || len(ran) <= 1, "%s ran %d times", made.path, len(ran))
+		assert.Check(t, record.idempotent || len(ran) <= 1, "%s ran %d times", record.path, len(ran))
 		for _, run := range ran {
-			late := run.StartSinceBoot - made.startSinceBoot - b.deadline
-			assert.Check(t, late < lateBy, "%s was started %s after its deadline", made.path, late)
+			late := run.StartSinceBoot - record.startSinceBoot - r.deadline
+			assert.Check(t, late < startTolerance, "%s was started %s after its deadline", record.path, late)
 		}
 	}
-	t.Logf("%d requests: %d answered, %d refused, %d unknown, %d unsent, %d wrong", len(b.filings),
+	t.Logf("%d requests: %d answered, %d refused, %d unknown, %d unsent, %d wrong", len(r.records),
 		counts[answered], counts[refused], counts[unknown], counts[unsent], counts[wrong])
 	return counts
 }
 
-// load lets callers at the entries file returns, read tallies and fetch
-// archives until the returned function is called.
-func (b *book) load(callers int, entries ...string) (stop func()) {
+// startLoad starts callers that submit returns, read tallies and fetch archives
+// through the entry nodes until the returned function is called.
+func (r *recorder) startLoad(callers int, entries ...string) (stop func()) {
 	done := make(chan struct{})
 	var running sync.WaitGroup
 	for caller := range callers {
@@ -215,7 +219,7 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				b.next(caller, i, entries)
+				r.callNext(caller, i, entries)
 			}
 		})
 	}
@@ -225,25 +229,25 @@
 	}
 }
 
-// waitAnswered waits until so many more requests are answered, and fails the test if
-// that takes implausibly long: how fast a fleet serves depends on the machine.
-func (b *book) waitAnswered(more int) {
-	b.fleet.t.Helper()
-	wanted := b.answered() + more
-	poll.WaitOn(b.fleet.t, func(poll.LogT) poll.Result {
-		if got := b.answered(); got < wanted {
-			return poll.Continue("%d of %d answered", got, wanted)
+// waitAnswered waits until the given number of further requests are answered. The
+// timeout is long, since the speed of a fleet depends on the machine.
+func (r *recorder) waitAnswered(more int) {
+	r.fleet.t.Helper()
+	want := r.answered() + more
+	poll.WaitOn(r.fleet.t, func(poll.LogT) poll.Result {
+		if got := r.answered(); got < want {
+			return poll.Continue("%d of %d answered", got, want)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
 }
 
-func (b *book) answered() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *recorder) answered() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	count := 0
-	for _, made := range b.filings {
-		if made.outcome == answered {
+	for _, record := range r.records {
+		if record.outcome == answered {
 			count++
 		}
 	}
@@ -252,55 +256,56 @@
 
 const loadArchiveBytes = 300_000
 
-// next makes a caller's request number i. A caller that can't connect to an
-// entry node, or is told by it that nothing ran, asks the next one.
-func (b *book) next(caller, i int, entries []string) {
+// callNext sends request number i of a caller. If the caller can't connect to an
+// entry node, or the node refuses the request as not run, it tries the next node.
+func (r *recorder) callNext(caller, i int, entries []string) {
 	for retry := range entries {
 		entry := entries[(caller+i+retry)%len(entries)]
 		id := fmt.Sprintf("%d-%d-%d", caller, i, retry)
-		var made filing
+		var record callRecord
 		switch i % 8 {
 		case 0:
-			made = b.file(entry, http.MethodGet, fmt.Sprintf("/archive/%s?bytes=%d", id, loadArchiveBytes), "")
+			record = r.call(entry, http.MethodGet, fmt.Sprintf("/archive/%s?bytes=%d", id, loadArchiveBytes), "")
 		case 1, 2, 3:
-			made = b.file(entry, http.MethodGet, "/tallies/"+id, "")
+			record = r.call(entry, http.MethodGet, "/tallies/"+id, "")
 		default:
-			made = b.file(entry, http.MethodPost, "/returns/"+id, "signed "+id)
+			record = r.call(entry, http.MethodPost, "/returns/"+id, "signed "+id)
 		}
-		if made.outcome != unsent && made.outcome != refused {
+		if record.outcome != unsent && record.outcome != refused {
 			return
 		}
 	}
-	b.unserved.Add(1)
+	r.unserved.Add(1)
 }
 
-// newLoadedFleet is a fleet whose requests have the deadline.
-func newLoadedFleet(t *testing.T, deadline time.Duration) (*fleet, *book) {
+// newLoadedFleet returns a running fleet with the given deadline on all routes, and
+// a recorder for it.
+func newLoadedFleet(t *testing.T, deadline time.Duration) (*fleet, *recorder) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts(deadline.String()))
 	f.waitVersion()
 	for _, id := range f.order {
 		f.waitMembers(id, len(f.order))
 	}
-	return f, newBook(f, deadline)
+	return f, newRecorder(f, deadline)
 }
 
-// input is one operation of the history: a submission of a return, or the
-// reading of its ledger at the end.
+// input is one operation of the history: a submission of a return, or the final read
+// of its ledger.
 type input struct {
 	path string
 	read bool
 }
 
-// output is what a submission's caller was told, or the runs in the ledger.
+// output is the outcome of a submission, or the number of runs in the ledger.
 type output struct {
-	told outcome
-	runs int
+	outcome outcome
+	runs    int
 }
 
-// atMostOnce is the model of one return: the state is how often it has run. A
-// submission that was answered ran once, one that was refused did not, and one
-// whose outcome is unknown may have run once.
+// atMostOnce is the model of one return. Its state is the number of runs: an answered
+// submission ran once, a refused one did not run, and one with an unknown outcome
+// may have run once.
 var atMostOnce = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byPath := map[string][]porcupine.Operation{}
@@ -316,39 +321,40 @@
 	},
 	Init: func() []any { return []any{0} },
 	Step: func(state, in, out any) []any {
-		runs, told := state.(int), out.(output)
+		runs, result := state.(int), out.(output)
 		switch {
-		case in.(input).read && told.runs == runs:
+		case in.(input).read && result.runs == runs:
 			return []any{runs}
-		case in.(input).read, told.told == wrong:
+		case in.(input).read, result.outcome == wrong:
 			return nil
-		case told.told == answered:
+		case result.outcome == answered:
 			return []any{runs + 1}
-		case told.told == refused, told.told == unsent:
+		case result.outcome == refused, result.outcome == unsent:
 			return []any{runs}
 		}
 		return []any{runs, runs + 1}
 	},
 }).ToModel()
 
-// history is the book's submissions of returns and a reading of each at the end.
-func (b *book) history() []porcupine.Operation {
+// history returns the recorded submissions of returns, each return followed by a
+// final read of its ledger.
+func (r *recorder) history() []porcupine.Operation {
 	end := time.Now()
-	runs := b.fleet.runs()
-	seen := map[string]bool{}
+	runs := r.fleet.runs()
+	read := map[string]bool{}
 	var history []porcupine.Operation
-	for i, made := range b.filings {
-		if made.idempotent {
+	for i, record := range r.records {
+		if record.idempotent {
 			continue
 		}
 		history = append(history, porcupine.Operation{
-			ClientId: i, Input: input{path: made.path}, Output: output{told: made.outcome},
-			Call: made.start.UnixNano(), Return: made.end.UnixNano(),
+			ClientId: i, Input: input{path: record.path}, Output: output{outcome: record.outcome},
+			Call: record.start.UnixNano(), Return: record.end.UnixNano(),
 		})
-		if !seen[made.path] {
-			seen[made.path] = true
+		if !read[record.path] {
+			read[record.path] = true
 			history = append(history, porcupine.Operation{
-				ClientId: len(b.filings) + i, Input: input{path: made.path, read: true}, Output: output{runs: len(runs[made.path])},
+				ClientId: len(r.records) + i, Input: input{path: record.path, read: true}, Output: output{runs: len(runs[record.path])},
 				Call: end.UnixNano(), Return: end.UnixNano() + 1,
 			})
 		}
--- a/test/process/load_test.go
+++ b/test/process/load_test.go
@@ -14,29 +14,29 @@
 	"tamarackquay/standin/target"
 )
 
-// notingCaller remembers what each caller was told.
-type notingCaller struct {
+// recordingCaller records the outcome of each submitted return.
+type recordingCaller struct {
 	load.Caller
-	mu   sync.Mutex
-	told map[int]load.Outcome
+	mu       sync.Mutex
+	outcomes map[int]load.Outcome
 }
 
 // Do implements load.Caller.
-func (c *notingCaller) Do(ctx context.Context, call load.Call) load.Outcome {
+func (c *recordingCaller) Do(ctx context.Context, call load.Call) load.Outcome {
 	outcome := c.Caller.Do(ctx, call)
 	if call.Kind == load.Return {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.told[call.Number] = outcome
+		c.outcomes[call.Number] = outcome
 	}
 	return outcome
 }
 
-// Callers send readings, filings and downloads while a node goes away in one of
-// the ways that users have seen. What each caller was told of its filing is held
-// against the ledgers of the targets: a filing that was answered ran once, one
-// that was refused as not run did not run, and none ran twice. No caller gets an
-// answer that is not its own, and a planned stop cuts nothing.
+// Guards against false outcomes while a node fails in one of the ways that users have
+// seen. Callers read tallies, submit returns and fetch archives. The outcomes of the
+// returns are compared with the ledgers of the targets: an answered return ran once,
+// one refused as not run did not run, and none ran twice. No caller gets a response
+// to another request, and a planned stop cuts off no response.
 func TestWhatCallersAreToldIsTrue(t *testing.T) {
 	for _, test := range []struct {
 		desc    string
@@ -44,8 +44,8 @@
 		planned bool
 	}{
 		{"node killed", []string{"KILL@700ms"}, false},
-		{"node frozen and woken", []string{"STOP@500ms", "CONT@1500ms"}, false},
-		{"node stopped as planned", []string{"TERM@700ms"}, true},
+		{"node paused and resumed", []string{"STOP@500ms", "CONT@1500ms"}, false},
+		{"planned stop of a node", []string{"TERM@700ms"}, true},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			t.Parallel()
@@ -53,20 +53,20 @@
 			f.publish(testContracts("5s"))
 			f.waitVersion()
 			f.waitMembers("a-archive", 6)
-			outcomes, told := f.load(test.signals)
+			outcomes, returns := f.load(test.signals)
 			assert.Equal(t, outcomes[string(load.Wrong)], 0, "%v", outcomes)
 			assert.Check(t, outcomes[string(load.Answered)] > 0, "%v", outcomes)
 			if test.planned {
 				checkNothingCut(t, outcomes)
 			}
-			f.checkFilings(told)
+			f.checkReturns(returns)
 		})
 	}
 }
 
-// checkNothingCut allows answers and refusals alone. A filing may be refused as
-// not run while its entry still believes in a node that has just left; the
-// caller can file it again elsewhere.
+// checkNothingCut accepts only answered and refused calls. A return may be refused as
+// not run while its entry node still lists a node that has just stopped; the caller
+// can submit it again elsewhere.
 func checkNothingCut(t *testing.T, outcomes map[string]int) {
 	t.Helper()
 	for _, cut := range []load.Outcome{load.Broken, load.Unknown, load.Failed, load.NoContact, load.NotSent} {
@@ -74,9 +74,9 @@
 	}
 }
 
-// load sends a mixed load through an entry that stays, with signals to the node
-// of one returns target, and gives the outcomes of all calls and what was told of
-// each filing.
+// load sends a mixed load through an entry node that keeps running, and sends the
+// signals to the node of one returns target. It returns the number of calls by
+// outcome, and the outcome of each submitted return by call number.
 func (f *fleet) load(signals []string) (map[string]int, map[int]load.Outcome) {
 	f.t.Helper()
 	config := load.Config{
@@ -89,7 +89,7 @@
 		assert.NilError(f.t, err)
 		config.Signals = append(config.Signals, signal)
 	}
-	caller := &notingCaller{Caller: load.NewHTTPCaller(config, target.ArchiveDigest), told: map[int]load.Outcome{}}
+	caller := &recordingCaller{Caller: load.NewHTTPCaller(config, target.ArchiveDigest), outcomes: map[int]load.Outcome{}}
 	run, err := load.Run(f.t.Context(), config, caller)
 	assert.NilError(f.t, err)
 	outcomes := map[string]int{}
@@ -99,11 +99,11 @@
 		}
 	}
 	f.t.Logf("outcomes %v", outcomes)
-	return outcomes, caller.told
+	return outcomes, caller.outcomes
 }
 
-// checkFilings holds what callers were told against what the targets ran.
-func (f *fleet) checkFilings(told map[int]load.Outcome) {
+// checkReturns compares the outcomes of the returns with the ledgers of the targets.
+func (f *fleet) checkReturns(returns map[int]load.Outcome) {
 	f.t.Helper()
 	ran := map[string]int{}
 	for _, id := range []string{"a-returns", "b-returns"} {
@@ -111,16 +111,16 @@
 			ran[entry.Path]++
 		}
 	}
-	assert.Check(f.t, len(told) > 10, "only %d filings", len(told))
-	for number, outcome := range told {
-		times := ran[fmt.Sprintf("/returns/call-%d", number)]
+	assert.Check(f.t, len(returns) > 10, "only %d returns", len(returns))
+	for number, outcome := range returns {
+		runs := ran[fmt.Sprintf("/returns/call-%d", number)]
 		switch {
 		case outcome == load.Answered:
-			assert.Check(f.t, times == 1, "filing %d was answered and ran %d times", number, times)
+			assert.Check(f.t, runs == 1, "return %d was answered, but ran %d times", number, runs)
 		case strings.HasPrefix(string(outcome), string(load.Refused(""))), outcome == load.NoContact:
-			assert.Check(f.t, times == 0, "filing %d was told %s and ran %d times", number, outcome, times)
+			assert.Check(f.t, runs == 0, "return %d has outcome %s, but ran %d times", number, outcome, runs)
 		default:
-			assert.Check(f.t, times <= 1, "filing %d was told %s and ran %d times", number, outcome, times)
+			assert.Check(f.t, runs <= 1, "return %d has outcome %s, but ran %d times", number, outcome, runs)
 		}
 	}
 }
--- a/test/process/main_test.go
+++ b/test/process/main_test.go
@@ -1,6 +1,6 @@
-// Package process tests the whole system as separate processes: nodes, stand-in
-// targets and the stand-in platform, talking over loopback. The tests stop,
-// kill and pause only processes that they started.
+// Package process tests the complete system as separate processes that communicate
+// over loopback: nodes, fake targets and a fake platform. The tests stop, kill and
+// pause only processes that they started.
 package process
 
 import (
@@ -11,12 +11,12 @@
 	"testing"
 )
 
-// binaries is the directory of the programs under test, built once.
+// binaries is the directory of the programs under test, which are built once.
 var binaries string
 
 func TestMain(m *testing.M) {
-	if listen := os.Getenv(bareListen); listen != "" {
-		fmt.Fprintln(os.Stderr, serveBare(listen, os.Getenv(bareNext)))
+	if listen := os.Getenv(baselineListen); listen != "" {
+		fmt.Fprintln(os.Stderr, serveBaseline(listen, os.Getenv(baselineNext)))
 		os.Exit(1)
 	}
 	os.Exit(run(m))
--- a/test/process/membership_test.go
+++ b/test/process/membership_test.go
@@ -14,8 +14,8 @@
 	"tamarackquay/internal/port"
 )
 
-// waitState waits until every other running node holds the VM in one of the
-// states, and returns how long that took.
+// waitState waits until every other node lists the VM in one of the states, and
+// returns how long that took.
 func (f *fleet) waitState(id string, limit time.Duration, want ...membership.State) time.Duration {
 	f.t.Helper()
 	begun := time.Now()
@@ -30,7 +30,7 @@
 					return poll.Success()
 				}
 			}
-			return poll.Continue("%s holds %s as %s", other, id, got)
+			return poll.Continue("%s lists %s as %s", other, id, got)
 		}, poll.WithTimeout(limit), poll.WithDelay(10*time.Millisecond))
 	}
 	return time.Since(begun)
@@ -49,8 +49,8 @@
 	return 0
 }
 
-// audited returns how often a node wrote an event of the kind.
-func (f *fleet) audited(id string, kind port.AuditKind) int {
+// countAuditEvents returns the number of events of the kind in a node's audit trail.
+func (f *fleet) countAuditEvents(id string, kind port.AuditKind) int {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.nodes[id].operators + "/audit")
 	assert.NilError(f.t, err)
@@ -66,12 +66,14 @@
 	return count
 }
 
-// patience is how long a loaded machine may take for what takes a second.
-const patience = 15 * time.Second
+// waitTimeout is the timeout for changes that take about a second on an idle machine;
+// a loaded one takes longer.
+const waitTimeout = 15 * time.Second
 
-// A node is killed and started again, another freezes and wakes, a third is
-// stopped as planned. Each time all others leave it out of their choice, and
-// take the first two back. The woken one knows that it slept.
+// Guards against nodes that keep a failed member in use or don't accept it again. One
+// node is killed and restarted, another is paused and resumed, and a third is stopped
+// as planned. Each time all others must stop choosing it, and must choose the first
+// two again afterwards. The resumed node must have recorded its pause.
 func TestKilledFrozenAndStoppedNodes(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts("5s"))
@@ -81,16 +83,16 @@
 	}
 
 	f.nodes["b-tally"].process.signal(syscall.SIGKILL)
-	t.Logf("killed: out after %s", f.waitState("b-tally", patience, membership.Suspect))
+	t.Logf("killed: out after %s", f.waitState("b-tally", waitTimeout, membership.Suspect))
 	f.startNode("b-tally")
-	t.Logf("started again: back after %s", f.waitState("b-tally", patience, membership.Live))
+	t.Logf("restarted: back after %s", f.waitState("b-tally", waitTimeout, membership.Live))
 
 	f.nodes["a-tally"].process.signal(syscall.SIGSTOP)
-	t.Logf("frozen: out after %s", f.waitState("a-tally", patience, membership.Suspect))
+	t.Logf("paused: out after %s", f.waitState("a-tally", waitTimeout, membership.Suspect))
 	time.Sleep(2500 * time.Millisecond)
 	f.nodes["a-tally"].process.signal(syscall.SIGCONT)
-	t.Logf("woken: back after %s", f.waitState("a-tally", patience, membership.Live))
-	assert.Check(t, f.audited("a-tally", port.AuditPaused) > 0)
+	t.Logf("resumed: back after %s", f.waitState("a-tally", waitTimeout, membership.Live))
+	assert.Check(t, f.countAuditEvents("a-tally", port.AuditPaused) > 0)
 
 	f.nodes["b-archive"].process.signal(syscall.SIGTERM)
 	t.Logf("stopped: out after %s", f.waitState("b-archive", 3*time.Second, membership.Departing, membership.Gone))
--- a/test/process/operators_test.go
+++ b/test/process/operators_test.go
@@ -19,8 +19,9 @@
 	"tamarackquay/standin/platform"
 )
 
-// ctl runs tamarackctl against the operators' addresses of the fleet.
-func (f *fleet) ctl(args ...string) (string, int) {
+// tamarackctl runs the program tamarackctl with the operators' addresses of the
+// fleet. It returns the output and the exit code.
+func (f *fleet) tamarackctl(args ...string) (string, int) {
 	f.t.Helper()
 	for _, id := range f.order {
 		args = append(args, f.nodes[id].operators)
@@ -30,7 +31,7 @@
 	return string(out), command.ProcessState.ExitCode()
 }
 
-// waitReadyz waits until the node's /readyz tells the state and the reason.
+// waitReadyz waits until the node's /readyz shows the state and the reason.
 func (f *fleet) waitReadyz(id, state, reason string) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
@@ -47,20 +48,21 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-// waitCtl waits until the command's output has the text.
-func (f *fleet) waitCtl(want string, args ...string) {
+// waitOutput waits until the output of tamarackctl contains the text.
+func (f *fleet) waitOutput(want string, args ...string) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
-		if text, code := f.ctl(args...); !strings.Contains(text, want) {
+		if text, code := f.tamarackctl(args...); !strings.Contains(text, want) {
 			return poll.Continue("exit code %d: %s", code, text)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(50*time.Millisecond))
 }
 
-// The platform is down for a while. Callers notice nothing; an operator reads
-// that the nodes serve on what may be old, since when and why, and that they are
-// ready again once the platform answers.
+// Guards against a platform outage that affects callers or is hidden from operators.
+// Callers are served as before; operators see that the nodes serve a configuration
+// that may be old, since when and why, and that they are ready again once the
+// platform is reachable.
 func TestOutageIsToldAndCallersAreServed(t *testing.T) {
 	f := newFleet(t, sixVMs()[:2]...)
 	f.publish(testContracts("5s"))
@@ -70,22 +72,23 @@
 		f.waitReadyz(id, "old-configuration", "platform unreachable since")
 		assert.Equal(t, f.call(id, http.MethodGet, "/tallies/1", "").status, http.StatusOK)
 	}
-	text, code := f.ctl("status")
+	text, code := f.tamarackctl("status")
 	assert.Equal(t, code, 1)
 	assert.Check(t, cmp.Contains(text, "platform unreachable since"))
 	f.setPlatform(platform.Mode{})
 	for _, id := range f.order {
 		f.waitReadyz(id, "ready", "")
 	}
-	// The list is read more often than a reader that failed tries again, so the
-	// nodes are ready before the readers' event is there.
-	f.waitCtl("platform-down", "audit", "--kind", "platform-down")
-	f.waitCtl("platform-up", "audit", "--kind", "platform-up")
+	// The VM list is read more often than a failed reader of the configuration
+	// retries, so the nodes are ready before the reader has written its event.
+	f.waitOutput("platform-down", "audit", "--kind", "platform-down")
+	f.waitOutput("platform-up", "audit", "--kind", "platform-up")
 }
 
-// An operator publishes a manifest, and the upload of its parts fails. The nodes
-// stay on the version before; the operator is told which version lacks what, and
-// the upload of the parts is all that it takes to mend it.
+// Guards against a version without its parts that is applied, or not reported, or
+// can't be completed. An operator publishes a manifest and the upload of its parts
+// fails: the nodes keep the previous version, status shows the incomplete one, and
+// uploading the parts is enough to repair it.
 func TestVersionWithoutItsPartsIsToldAndMended(t *testing.T) {
 	f := newFleet(t, sixVMs()[:2]...)
 	f.publish(testContracts("5s"))
@@ -98,16 +101,16 @@
 	raw, err := publication.Manifest.Encode()
 	assert.NilError(t, err)
 	f.put(f.platform, "/admin/config/manifest", "", raw)
-	f.waitCtl("version-incomplete: version 1.2", "status")
-	_, code := f.ctl("status")
+	f.waitOutput("version-incomplete: version 1.2", "status")
+	_, code := f.tamarackctl("status")
 	assert.Equal(t, code, 1)
 	for hash, part := range publication.Parts {
 		f.put(f.platform, "/admin/config/part/"+hash.String(), "", part)
 	}
-	text, code := f.ctl("status", "--wait", f.version.String())
+	text, code := f.tamarackctl("status", "--wait", f.version.String())
 	assert.Equal(t, code, 0, text)
 	assert.Check(t, cmp.Contains(text, "version 1.2 is in force on all 2 nodes"))
-	text, code = f.ctl("audit", "--versions")
+	text, code = f.tamarackctl("audit", "--versions")
 	assert.Equal(t, code, 0, text)
 	assert.Check(t, cmp.Contains(text, "published by r.chen"))
 	assert.Check(t, cmp.Contains(text, "in force on 2 nodes"))
--- a/test/process/overload_test.go
+++ b/test/process/overload_test.go
@@ -15,14 +15,15 @@
 	"tamarackquay/standin/target"
 )
 
-// Sizes of the measured overload: two targets that run 2 requests of 50 ms at a
-// time serve 80 a second, of which half are promised to each customer.
+// Parameters of the overload measurement. Two targets that run 2 requests of 50 ms at
+// a time serve 80 per second, and each customer's share is half of that. Rates are in
+// requests per second.
 const (
-	overloadSlots   = 2
-	overloadService = 50
-	modestPerSecond = 36
-	greedyPerSecond = 400
-	overloadSeconds = 10
+	overloadSlots     = 2
+	overloadServiceMS = 50
+	modestRate        = 36
+	greedyRate        = 400
+	overloadSeconds   = 10
 )
 
 func overloadContracts() string {
@@ -35,9 +36,9 @@
 	return text
 }
 
-// One customer asks for ten times its promise, another for nine tenths of its
-// own, as real processes. The figures go to docs/measurements/admission.md; they
-// depend on the machine and gate nothing.
+// Measures two customers under overload with real processes: one sends ten times its
+// share, the other nine tenths of its own. docs/measurements/admission.md has the
+// figures. They depend on the machine, so the test doesn't fail because of them.
 func TestMeasureContractsUnderOverload(t *testing.T) {
 	if os.Getenv(measureVariable) == "" {
 		t.Skipf("set %s=1 to measure", measureVariable)
@@ -47,21 +48,21 @@
 	f.waitVersion()
 	for _, id := range f.order {
 		f.waitMembers(id, len(f.order))
-		f.setTarget(id, target.Mode{ServiceMS: overloadService})
+		f.setTarget(id, target.Mode{ServiceMS: overloadServiceMS})
 	}
 	var modest, greedy atomic.Int64
 	var customers sync.WaitGroup
-	customers.Go(func() { f.offerLoad("modest", modestPerSecond, &modest) })
-	customers.Go(func() { f.offerLoad("greedy", greedyPerSecond, &greedy) })
+	customers.Go(func() { f.offerLoad("modest", modestRate, &modest) })
+	customers.Go(func() { f.offerLoad("greedy", greedyRate, &greedy) })
 	customers.Wait()
-	capacity := float64(len(f.order)*overloadSlots*1000/overloadService) * overloadSeconds
+	capacity := float64(len(f.order)*overloadSlots*1000/overloadServiceMS) * overloadSeconds
 	t.Logf("modest: %d of %d answered (%.3f); greedy: %d of %d; together %.3f of the capacity",
-		modest.Load(), modestPerSecond*overloadSeconds, float64(modest.Load())/(modestPerSecond*overloadSeconds),
-		greedy.Load(), greedyPerSecond*overloadSeconds, float64(modest.Load()+greedy.Load())/capacity)
+		modest.Load(), modestRate*overloadSeconds, float64(modest.Load())/(modestRate*overloadSeconds),
+		greedy.Load(), greedyRate*overloadSeconds, float64(modest.Load()+greedy.Load())/capacity)
 }
 
-// offerLoad sends a customer's requests at an even rate through both nodes and
-// counts the answers.
+// offerLoad sends a customer's requests at a constant rate through both nodes and
+// counts the successful responses.
 func (f *fleet) offerLoad(customer string, perSecond int, answers *atomic.Int64) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: perSecond}}
 	defer client.CloseIdleConnections()
--- a/test/process/path_test.go
+++ b/test/process/path_test.go
@@ -16,7 +16,7 @@
 	"tamarackquay/standin/target"
 )
 
-// sixVMs is the smallest fleet that has each service in both failure domains.
+// sixVMs returns the smallest fleet that has each service in both failure domains.
 func sixVMs() []spec {
 	var specs []spec
 	for _, service := range []string{"tally", "returns", "archive"} {
@@ -27,9 +27,9 @@
 	return specs
 }
 
-// A caller's three kinds of request enter at a node of another service and are
-// answered whole by a target behind another node. A changed contract is then in
-// force on every node.
+// Checks the complete path of a request: each of the three kinds enters at a node of
+// another service and gets a complete response from a target behind another node.
+// Afterwards a changed contract is applied on every node.
 func TestWholePath(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts("5s"))
@@ -56,8 +56,8 @@
 	f.waitVersion()
 }
 
-// Callers elsewhere keep getting whole answers while one node is killed in the
-// middle of a run: its target is lost, and the other domain's takes over.
+// Guards against failed calls at other nodes when a node is killed under load: its
+// target becomes unreachable, and the one in the other failure domain must serve.
 func TestKilledNodeLeavesOthersServing(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts("5s"))
@@ -86,9 +86,9 @@
 	})
 }
 
-// A platform that cuts its answers short leaves the nodes on the version they
-// have; once it is well again the new version comes into force. Half a manifest
-// must never pass for a whole one.
+// Guards against a truncated manifest that is taken for a complete one. While the
+// platform truncates its responses, the nodes must keep their version; once it
+// recovers, they apply the new one.
 func TestPlatformAnswersCutShort(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts("5s"))
@@ -106,8 +106,8 @@
 	f.waitVersion()
 }
 
-// A target that breaks off in the middle of an archive gives the caller a
-// broken answer, never a clean end after half the bytes.
+// Guards against a truncated archive that looks complete: if the target closes the
+// connection in the middle, the caller must get a broken response, not a clean end.
 func TestBrokenArchiveIsVisiblyBroken(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts("5s"))
@@ -118,5 +118,5 @@
 	}
 	const size = 4 << 20
 	r := f.call("a-tally", http.MethodGet, fmt.Sprintf("/archive/video?bytes=%d", size), "")
-	assert.Check(t, r.err != nil, "status %d with %d bytes passed for whole", r.status, len(r.body))
+	assert.Check(t, r.err != nil, "status %d with %d bytes was taken for complete", r.status, len(r.body))
 }
--- a/test/process/pause_test.go
+++ b/test/process/pause_test.go
@@ -16,14 +16,16 @@
 	"tamarackquay/standin/target"
 )
 
-// pausesVariable sets how often the owner is paused; a long run is started by hand.
+// pausesVariable sets how often the owner is paused, for long runs started by hand.
+// usualPauses is the default.
 const (
 	pausesVariable = "TAMARACK_PAUSES"
 	usualPauses    = 4
 )
 
-// Guards against a filing that is started late because its owner was paused just before it
-// sent it: filings come in bursts, and the pause falls into one.
+// Guards against a return that starts after its deadline because the owner was paused
+// just before sending it to the target. Returns arrive in bursts, and each pause
+// begins during a burst.
 func TestPausesIntoBurstsStartNothingLate(t *testing.T) {
 	t.Parallel()
 	pauses := usualPauses
@@ -32,23 +34,23 @@
 		pauses, err = strconv.Atoi(text)
 		assert.NilError(t, err)
 	}
-	const deadline, lanes = 300 * time.Millisecond, 2 * slots
-	f, b := newLoadedFleet(t, deadline)
+	const deadline, workers = 300 * time.Millisecond, 2 * slots
+	f, rec := newLoadedFleet(t, deadline)
 	f.setTarget("a-returns", target.Mode{ServiceMS: 2})
 	f.nodes["b-returns"].process.signal(syscall.SIGKILL)
 	random := rand.New(rand.NewPCG(1, 1))
 	var callers sync.WaitGroup
 	for pause := range pauses {
-		b.waitServed(fmt.Sprintf("/returns/wait-%d", pause))
+		rec.waitAnswer(fmt.Sprintf("/returns/wait-%d", pause))
 		stop := make(chan struct{})
-		for lane := range lanes {
+		for worker := range workers {
 			callers.Go(func() {
 				for i := 0; ; i++ {
 					select {
 					case <-stop:
 						return
 					default:
-						b.file("a-archive", http.MethodPost, fmt.Sprintf("/returns/%d-%d-%d", pause, lane, i), "signed")
+						rec.call("a-archive", http.MethodPost, fmt.Sprintf("/returns/%d-%d-%d", pause, worker, i), "signed")
 					}
 				}
 			})
@@ -57,17 +59,17 @@
 		f.nodes["a-returns"].process.signal(syscall.SIGSTOP)
 		close(stop)
 		callers.Wait()
-		time.Sleep(lateBy + deadline)
+		time.Sleep(startTolerance + deadline)
 		f.nodes["a-returns"].process.signal(syscall.SIGCONT)
 		time.Sleep(50 * time.Millisecond)
 	}
-	b.check()
+	rec.checkLedgers()
 }
 
-// waitServed files until one is answered.
-func (b *book) waitServed(path string) {
+// waitAnswer submits returns until one is answered, at most 200.
+func (r *recorder) waitAnswer(path string) {
 	for i := range 200 {
-		if b.file("a-archive", http.MethodPost, fmt.Sprint(path, "-", i), "signed").outcome == answered {
+		if r.call("a-archive", http.MethodPost, fmt.Sprint(path, "-", i), "signed").outcome == answered {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/test/process/reload_test.go
+++ b/test/process/reload_test.go
@@ -14,10 +14,10 @@
 	"tamarackquay/standin/userfiles"
 )
 
-// The platform tells a node of changed settings while its process is still
-// starting and reads them for the first time. The process must take the signal and
-// run on; ended by it, its VM had no node. The settings are a pipe here, so that
-// the moment is the same in each run: opening it waits for the reader.
+// Guards against SIGHUP ending a process that is still starting: the platform sends
+// it for changed settings while the process reads them for the first time, and the VM
+// was left without a node. The settings file is a pipe here, so that the signal
+// arrives at the same moment in each run: opening the pipe waits for the reader.
 func TestSettingsThatChangeDuringTheStart(t *testing.T) {
 	t.Parallel()
 	host := loopback
@@ -37,7 +37,8 @@
 	assert.NilError(t, err)
 	p.signal(syscall.SIGHUP)
 	time.Sleep(50 * time.Millisecond)
-	// A process that has ended reads nothing, which the next check tells better.
+	// Write errors are ignored: they mean that the process has ended, and the next
+	// check reports that more clearly.
 	_, _ = pipe.Write(settings)
 	_ = pipe.Close()
 	select {
--- a/test/process/request_cost_test.go
+++ b/test/process/request_cost_test.go
@@ -16,24 +16,25 @@
 	"tamarackquay/standin/target"
 )
 
-// Terms of a paired run: the ways are measured in turn, several times, so that
-// whatever else the machine does meets all of them.
+// Parameters of paired measurements. The paths are measured in turn, in several
+// rounds, so that other load on the machine affects all of them alike.
 const (
-	pairedTurns   = 4
+	pairedRounds  = 4
 	pairedSeconds = 2
 )
 
-// way is one way from a caller to the same target.
-type way struct {
+// requestPath is one of several paths from a caller to the same target.
+type requestPath struct {
 	name    string
 	address string
-	// hops are the processes on the way, from the caller on.
+	// hops are the processes on the path, in order from the caller.
 	hops []*process
 }
 
-// newRequestRig is a small fleet whose tallies enter at one node and run behind
-// another, with two bare hops to the same target beside it.
-func newRequestRig(t *testing.T) (*fleet, []way) {
+// newRequestFleet returns a small fleet whose tallies enter at one node and run
+// behind another, and the paths to compare: direct, through two baseline proxies, and
+// through the nodes.
+func newRequestFleet(t *testing.T) (*fleet, []requestPath) {
 	if os.Getenv(measureVariable) == "" {
 		t.Skip("a measurement; set " + measureVariable + "=1")
 	}
@@ -48,59 +49,60 @@
 		f.waitMembers(id, len(f.order))
 		f.setTarget(id, target.Mode{})
 	}
-	return f, f.ways(t, "a-tally")
+	return f, f.requestPaths(t, "a-tally")
 }
 
-// ways are the three ways to a VM's target.
-func (f *fleet) ways(t *testing.T, owner string) []way {
-	second, secondHop := f.startBare(t, f.nodes[owner].target)
-	first, firstHop := f.startBare(t, second)
+// requestPaths returns the three paths to a VM's target.
+func (f *fleet) requestPaths(t *testing.T, owner string) []requestPath {
+	second, secondHop := f.startBaseline(t, f.nodes[owner].target)
+	first, firstHop := f.startBaseline(t, second)
 	entry := f.nodes["a-returns"]
-	return []way{
+	return []requestPath{
 		{"direct", f.nodes[owner].target, nil},
 		{"bare", first, []*process{firstHop, secondHop}},
 		{"ours", entry.callers, []*process{entry.process, f.nodes[owner].process}},
 	}
 }
 
-// Added latency over the way straight to the target, beside that of two bare
-// hops, in one run. Our hop between nodes proves its peer and is encrypted.
+// Measures the latency and CPU time that two nodes add to a direct call of the target,
+// compared with two baseline proxies. Unlike the proxies, the nodes authenticate each
+// other and encrypt.
 func TestMeasureAddedLatency(t *testing.T) {
-	f, ways := newRequestRig(t)
+	f, paths := newRequestFleet(t)
 	for _, rate := range []float64{270, 2000} {
-		total := map[string][]report.Waits{}
+		waits := map[string][]report.Waits{}
 		cpu := map[string][2]time.Duration{}
-		for range pairedTurns {
-			for _, w := range ways {
+		for range pairedRounds {
+			for _, w := range paths {
 				before := cpuOf(t, w.hops)
-				total[w.name] = append(total[w.name], f.paired(t, w, rate))
+				waits[w.name] = append(waits[w.name], f.measurePath(t, w, rate))
 				after := cpuOf(t, w.hops)
-				spent := cpu[w.name]
-				cpu[w.name] = [2]time.Duration{spent[0] + after[0] - before[0], spent[1] + after[1] - before[1]}
+				sum := cpu[w.name]
+				cpu[w.name] = [2]time.Duration{sum[0] + after[0] - before[0], sum[1] + after[1] - before[1]}
 			}
 		}
-		calls := float64(pairedTurns) * rate * (pairedSeconds + 1)
-		for _, w := range ways {
+		calls := float64(pairedRounds) * rate * (pairedSeconds + 1)
+		for _, w := range paths {
 			t.Logf("%5.0f/s %-6s p50 %.3f p99 %.3f p99.9 %.3f ms (median of %d turns); CPU a call %.0f + %.0f us", rate, w.name,
-				median(total[w.name], func(w report.Waits) float64 { return w.P50 }),
-				median(total[w.name], func(w report.Waits) float64 { return w.P99 }),
-				median(total[w.name], func(w report.Waits) float64 { return w.P999 }), pairedTurns,
+				median(waits[w.name], func(w report.Waits) float64 { return w.P50 }),
+				median(waits[w.name], func(w report.Waits) float64 { return w.P99 }),
+				median(waits[w.name], func(w report.Waits) float64 { return w.P999 }), pairedRounds,
 				float64(cpu[w.name][0].Microseconds())/calls, float64(cpu[w.name][1].Microseconds())/calls)
 		}
 	}
 }
 
-// cpuOf is what the first two hops have taken so far.
+// cpuOf returns the CPU time of the first two hops so far.
 func cpuOf(t *testing.T, hops []*process) [2]time.Duration {
 	t.Helper()
-	var taken [2]time.Duration
+	var usage [2]time.Duration
 	for i, hop := range hops {
-		taken[i] = usageOf(t, hop).cpu
+		usage[i] = readUsage(t, hop).cpu
 	}
-	return taken
+	return usage
 }
 
-func (f *fleet) paired(t *testing.T, w way, rate float64) report.Waits {
+func (f *fleet) measurePath(t *testing.T, w requestPath, rate float64) report.Waits {
 	t.Helper()
 	config := load.Config{
 		Entries: []string{w.address}, Token: testToken, Rate: rate, WarmUp: time.Second, Duration: pairedSeconds * time.Second,
@@ -113,10 +115,10 @@
 	return run.Kinds[0].Waits
 }
 
-func median(turns []report.Waits, of func(report.Waits) float64) float64 {
-	values := make([]float64, 0, len(turns))
-	for _, w := range turns {
-		values = append(values, of(w))
+func median(rounds []report.Waits, field func(report.Waits) float64) float64 {
+	values := make([]float64, 0, len(rounds))
+	for _, w := range rounds {
+		values = append(values, field(w))
 	}
 	for i := range values {
 		for j := i + 1; j < len(values); j++ {
@@ -128,19 +130,19 @@
 	return values[len(values)/2]
 }
 
-// Archive throughput against two bare hops, in turn.
+// Measures archive throughput compared with two baseline proxies, in turn.
 func TestMeasureArchiveThroughput(t *testing.T) {
-	f, _ := newRequestRig(t)
-	ways := f.ways(t, "a-archive")
+	f, _ := newRequestFleet(t)
+	paths := f.requestPaths(t, "a-archive")
 	const size = 256 << 20
-	took := map[string]time.Duration{}
-	for range pairedTurns {
-		for _, w := range ways {
-			took[w.name] += fetchArchive(t, w.address, size)
+	elapsed := map[string]time.Duration{}
+	for range pairedRounds {
+		for _, w := range paths {
+			elapsed[w.name] += fetchArchive(t, w.address, size)
 		}
 	}
-	for _, w := range ways {
-		t.Logf("%-6s %.0f MB/s, %.2f of bare", w.name, pairedTurns*size/1e6/took[w.name].Seconds(), took["bare"].Seconds()/took[w.name].Seconds())
+	for _, w := range paths {
+		t.Logf("%-6s %.0f MB/s, %.2f of bare", w.name, pairedRounds*size/1e6/elapsed[w.name].Seconds(), elapsed["bare"].Seconds()/elapsed[w.name].Seconds())
 	}
 }
 
@@ -159,12 +161,12 @@
 	return time.Since(start)
 }
 
-// The memory of callers' connections that are kept open at one entry node.
+// Measures the memory of open, idle caller connections at one entry node.
 func TestMeasureCallerConnections(t *testing.T) {
-	f, _ := newRequestRig(t)
+	f, _ := newRequestFleet(t)
 	const count = 1000
 	entry := f.nodes["a-returns"]
-	before := usageOf(t, entry.process).resident
+	before := readUsage(t, entry.process).resident
 	for range count {
 		transport := &http.Transport{}
 		t.Cleanup(transport.CloseIdleConnections)
@@ -177,6 +179,6 @@
 		response.Body.Close()
 	}
 	time.Sleep(time.Second)
-	grown := usageOf(t, entry.process).resident - before
+	grown := readUsage(t, entry.process).resident - before
 	t.Logf("%d connections: %.1f MB more, %.1f KB each", count, float64(grown)/1e6, float64(grown)/1e3/count)
 }
