--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -1,6 +1,5 @@
-// Package docs checks that the pages tell what the code does: every metric,
-// setting, finding and reason is documented, every command that a page shows
-// exists, and no link leads nowhere.
+// Package docs checks the pages against the code: every metric, setting, finding and
+// reason is documented, every command shown on a page exists, and no link is broken.
 package docs
 
 import (
@@ -28,22 +27,23 @@
 	"tamarackquay/internal/port"
 )
 
-// top is the root of the repository.
-const top = "../.."
+// repoRoot is the root of the repository.
+const repoRoot = "../.."
 
-func read(t *testing.T, name string) string {
+func readPage(t *testing.T, name string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(top, name))
+	text, err := os.ReadFile(filepath.Join(repoRoot, name))
 	assert.NilError(t, err)
 	return string(text)
 }
 
-// constants returns the string constants of a named type, from the source of
-// all packages: a list kept by hand would miss what it should find.
-func constants(t *testing.T, typeName string) []string {
+// stringConstants returns the string constants of a named type from the source of all
+// packages. A list maintained by hand would not show new constants that lack
+// documentation.
+func stringConstants(t *testing.T, typeName string) []string {
 	t.Helper()
 	var values []string
-	walk(t, "internal", ".go", func(path string) {
+	walkFiles(t, "internal", ".go", func(path string) {
 		if strings.HasSuffix(path, "_test.go") {
 			return
 		}
@@ -51,8 +51,8 @@
 		assert.NilError(t, err)
 		ast.Inspect(file, func(n ast.Node) bool {
 			spec, ok := n.(*ast.ValueSpec)
-			if ok && typeOf(spec.Type) == typeName {
-				values = append(values, literals(spec)...)
+			if ok && exprName(spec.Type) == typeName {
+				values = append(values, stringLiterals(spec)...)
 			}
 			return true
 		})
@@ -61,7 +61,7 @@
 	return values
 }
 
-func typeOf(expression ast.Expr) string {
+func exprName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.Ident:
 		return e.Name
@@ -71,7 +71,7 @@
 	return ""
 }
 
-func literals(spec *ast.ValueSpec) []string {
+func stringLiterals(spec *ast.ValueSpec) []string {
 	var values []string
 	for _, value := range spec.Values {
 		if literal, ok := value.(*ast.BasicLit); ok {
@@ -83,9 +83,9 @@
 	return values
 }
 
-func walk(t *testing.T, dir, suffix string, visit func(path string)) {
+func walkFiles(t *testing.T, dir, suffix string, visit func(path string)) {
 	t.Helper()
-	err := filepath.WalkDir(filepath.Join(top, dir), func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(filepath.Join(repoRoot, dir), func(path string, entry fs.DirEntry, err error) error {
 		if err == nil && !entry.IsDir() && strings.HasSuffix(path, suffix) {
 			visit(path)
 		}
@@ -105,60 +105,60 @@
 		{"Ending", "docs/LOGS.md"},
 	} {
 		t.Run(test.typeName, func(t *testing.T) {
-			page := read(t, test.page)
-			for _, value := range constants(t, test.typeName) {
-				assert.Check(t, strings.Contains(page, "`"+value+"`"), "%s does not name %s", test.page, value)
+			page := readPage(t, test.page)
+			for _, value := range stringConstants(t, test.typeName) {
+				assert.Check(t, strings.Contains(page, "`"+value+"`"), "%s does not document %s", test.page, value)
 			}
 		})
 	}
 }
 
 func TestEveryReasonIsExplained(t *testing.T) {
-	for _, reason := range constants(t, "Reason") {
+	for _, reason := range stringConstants(t, "Reason") {
 		_, ok := explain.MeaningOf(port.Reason(reason))
-		assert.Check(t, ok, "'tamarackctl explain --reason %s' has no answer", reason)
+		assert.Check(t, ok, "'tamarackctl explain --reason %s' has no explanation", reason)
 	}
 }
 
-// logKey matches a field of a log line where it is written.
-var logKey = regexp.MustCompile(`\.(?:Str|Strs|Int|Int64|Uint64|Dur|Bool|Object|Float64)\("([a-z_]+)"`)
+// logFieldPattern matches a call that adds a field to a log line.
+var logFieldPattern = regexp.MustCompile(`\.(?:Str|Strs|Int|Int64|Uint64|Dur|Bool|Object|Float64)\("([a-z_]+)"`)
 
-// A collector's queries name fields of log lines; a field that no page names is
-// one that somebody made up beside the schema.
+// Guards against log fields that are not part of the documented schema: the queries
+// of log collectors depend on the field names.
 func TestLogFieldsAreInTheSchema(t *testing.T) {
-	page := read(t, "docs/LOGS.md")
+	page := readPage(t, "docs/LOGS.md")
 	for _, dir := range []string{"internal", "cmd"} {
-		walk(t, dir, ".go", func(path string) {
+		walkFiles(t, dir, ".go", func(path string) {
 			source, err := os.ReadFile(path)
 			assert.NilError(t, err)
-			for _, match := range logKey.FindAllStringSubmatch(string(source), -1) {
-				assert.Check(t, strings.Contains(page, "`"+match[1]+"`"), "%s logs %s, which docs/LOGS.md lacks", path, match[1])
+			for _, match := range logFieldPattern.FindAllStringSubmatch(string(source), -1) {
+				assert.Check(t, strings.Contains(page, "`"+match[1]+"`"), "%s logs field %s, which docs/LOGS.md does not document", path, match[1])
 			}
 		})
 	}
 }
 
-// keys lists the TOML keys of a struct with their values, as dotted paths.
-func keys(prefix string, value reflect.Value, visit func(key string, value any)) {
+// visitKeys visits the TOML keys of a struct, as dotted paths, with their values.
+func visitKeys(prefix string, value reflect.Value, visit func(key string, value any)) {
 	for i := range value.NumField() {
 		key, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("toml"), ",")
 		switch field := value.Field(i); {
 		case key == "" || key == "-":
 		case field.Kind() == reflect.Struct:
-			keys(prefix+key+".", field, visit)
+			visitKeys(prefix+key+".", field, visit)
 		case field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct:
-			keys(prefix+key+".", reflect.New(field.Type().Elem()).Elem(), visit)
+			visitKeys(prefix+key+".", reflect.New(field.Type().Elem()).Elem(), visit)
 		default:
 			visit(prefix+key, field.Interface())
 		}
 	}
 }
 
-// A setting's row is "| `key` | default | ...": an operator who trusts a stale
-// default finds out in an outage.
+// Guards against outdated defaults on the settings page, which an operator would
+// notice only in an outage. A setting's row is "| `key` | default | ...".
 func TestSettingsAreDocumentedWithTheirDefaults(t *testing.T) {
-	page := read(t, "docs/SETTINGS.md")
-	keys("", reflect.ValueOf(settings.Default()), func(key string, value any) {
+	page := readPage(t, "docs/SETTINGS.md")
+	visitKeys("", reflect.ValueOf(settings.Default()), func(key string, value any) {
 		want := fmt.Sprintf("| `%s` | %s |", key, defaultText(value))
 		assert.Check(t, strings.Contains(page, want), "docs/SETTINGS.md has no row beginning %s", want)
 	})
@@ -176,28 +176,28 @@
 }
 
 func TestContractKeysAreDocumented(t *testing.T) {
-	page := read(t, "docs/CONTRACTS.md")
-	keys("", reflect.ValueOf(contract.File{}), func(key string, _ any) {
+	page := readPage(t, "docs/CONTRACTS.md")
+	visitKeys("", reflect.ValueOf(contract.File{}), func(key string, _ any) {
 		assert.Check(t, strings.Contains(page, "| `"+key+"` |"), "docs/CONTRACTS.md has no row for %s", key)
 	})
 }
 
-// pages visits every page of the repository.
-func pages(t *testing.T, visit func(path, text string)) {
+// visitPages visits every page of the repository.
+func visitPages(t *testing.T, visit func(path, text string)) {
 	t.Helper()
 	visitFile := func(path string) {
 		text, err := os.ReadFile(path)
 		assert.NilError(t, err)
 		visit(path, string(text))
 	}
-	walk(t, "docs", ".md", visitFile)
+	walkFiles(t, "docs", ".md", visitFile)
 	for _, name := range []string{"README.md", "CHANGELOG.md", "CONTRIBUTING.md"} {
-		visitFile(filepath.Join(top, name))
+		visitFile(filepath.Join(repoRoot, name))
 	}
 }
 
-// shown matches a command in a fenced block or in backquotes.
-var shown = regexp.MustCompile("(?m)(?:^\\s*(?:\\$ )?(?:bin/)?|`)(tamarackctl|tamarackload) ([^`\\n]*)")
+// commandPattern matches a command in a fenced block or in backquotes.
+var commandPattern = regexp.MustCompile("(?m)(?:^\\s*(?:\\$ )?(?:bin/)?|`)(tamarackctl|tamarackload) ([^`\\n]*)")
 
 func TestCommandsInPagesExist(t *testing.T) {
 	roots := map[string]*cobra.Command{"tamarackctl": root.New(), "tamarackload": cli.New(cli.Wiring{})}
@@ -206,8 +206,8 @@
 		tree.InitDefaultCompletionCmd()
 	}
 	count := 0
-	pages(t, func(path, text string) {
-		for _, match := range shown.FindAllStringSubmatch(strings.ReplaceAll(text, "\\\n", " "), -1) {
+	visitPages(t, func(path, text string) {
+		for _, match := range commandPattern.FindAllStringSubmatch(strings.ReplaceAll(text, "\\\n", " "), -1) {
 			count++
 			checkCommand(t, path, roots[match[1]], match[2])
 		}
@@ -215,12 +215,12 @@
 	assert.Check(t, count > 20, "%d commands found", count)
 }
 
-// end is where a shell would end the command.
-var end = regexp.MustCompile(`[|>;&#].*`)
+// shellEnd matches the rest of the line from where a shell would end the command.
+var shellEnd = regexp.MustCompile(`[|>;&#].*`)
 
 func checkCommand(t *testing.T, path string, tree *cobra.Command, line string) {
 	t.Helper()
-	words := strings.Fields(end.ReplaceAllString(line, ""))
+	words := strings.Fields(shellEnd.ReplaceAllString(line, ""))
 	if len(words) == 0 {
 		return
 	}
@@ -239,26 +239,27 @@
 	}
 }
 
-// Each subcommand is shown at work on some page, and its help has an example.
+// Checks that each subcommand is shown on some page, and that its help has an example
+// whose commands and flags exist.
 func TestEveryCommandIsShown(t *testing.T) {
 	var all strings.Builder
-	pages(t, func(_, text string) { all.WriteString(text) })
+	visitPages(t, func(_, text string) { all.WriteString(text) })
 	for _, tree := range []*cobra.Command{root.New(), cli.New(cli.Wiring{})} {
 		for _, command := range tree.Commands() {
 			assert.Check(t, strings.Contains(all.String(), command.CommandPath()), "no page shows %s", command.CommandPath())
 			assert.Check(t, command.Example != "", "%s has no example", command.CommandPath())
-			for _, match := range shown.FindAllStringSubmatch(command.Example, -1) {
+			for _, match := range commandPattern.FindAllStringSubmatch(command.Example, -1) {
 				checkCommand(t, "the help of "+command.CommandPath(), tree, match[2])
 			}
 		}
 	}
 }
 
-var link = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)]*)?\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)]*)?\)`)
 
 func TestLinksLeadSomewhere(t *testing.T) {
-	pages(t, func(path, text string) {
-		for _, match := range link.FindAllStringSubmatch(text, -1) {
+	visitPages(t, func(path, text string) {
+		for _, match := range linkPattern.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), match[1]))
 			assert.Check(t, err == nil, "%s links to %s", path, match[1])
 		}
