--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Switches one mechanism off in a scratch copy of the repository, to measure what it
-# is worth: scripts/ablation.sh NAME FOLDER. Without arguments it lists the names.
+# Disables one mechanism in a scratch copy of the repository, to measure its effect:
+# scripts/ablation.sh NAME FOLDER. Without arguments it lists the names.
 set -euo pipefail
 
-# off NAME FILE EXPRESSION: the sed expression that switches the mechanism off.
+# off NAME FILE EXPRESSION registers the sed expression that disables the mechanism.
 declare -A file expression
 off() { file[$1]=$2 expression[$1]=$3; }
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# The main job, end to end, as separate processes on loopback: contracts are
-# published, requests go through an entry node to a target behind another node,
-# a contract is changed and every node acts on it, a second operator is kept
-# from dropping that change, a node is stopped under load, and all stops cleanly.
-# Exits non-zero if any step fails. Needs bash, curl and the built programs.
+# Runs the main use case end to end, as separate processes on loopback: contracts are
+# published, requests go through an entry node to a target behind another node, a
+# contract is changed and every node applies it, a second operator is prevented from
+# dropping that change, a node is stopped under load, and everything stops cleanly.
+# Exits with a non-zero code if any step fails. Needs bash, curl and the built programs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source scripts/fleet.sh
@@ -13,7 +13,7 @@
 
 fail() { echo "demo: FAILED: $*" >&2; exit 1; }
 step() { printf '\n== %s\n' "$*"; }
-# show prints a command as a user would type it, then runs it.
+# show prints a command as a user would type it, and then runs it.
 show() { printf '$ %s\n' "${*#bin/}"; "$@"; }
 
 step "1. Start the stand-in platform, $COUNT targets and $COUNT nodes in 4 failure domains"
@@ -53,7 +53,7 @@
 refused unknown-route -H "$COOP" "http://$ENTRY/nothing-here"
 refused no-target -H "$LIGHTS" "http://$ENTRY/archive/log-1"
 
-# Exit code 1 is what explain owes when a request would be refused.
+# explain must exit with code 1 if the request would be refused.
 show bin/tamarackctl explain "$WORK/contracts" --customer zhaksybekov --path /archive/log-1 --node "$(operators 0)" || [ $? = 1 ]
 
 step "5. Change a limit and a deadline; every node acts on it"
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,12 +1,12 @@
-# Starts and stops the fleet of the demo and of scripts/play.sh: the stand-in
-# platform, targets and nodes, as separate processes on loopback. To be sourced
-# from the root of the repository; ends only processes that it started.
+# Starts and stops the fleet of scripts/demo.sh and scripts/play.sh: the fake platform,
+# fake targets and the nodes, as separate processes on loopback. Source it from the
+# root of the repository. It ends only processes that it started.
 
 command -v curl >/dev/null || { echo "needs curl, which is not installed" >&2; exit 1; }
 
 WORK=.demo
-# A loopback address of this run's own: ports of 127.0.0.1 are also taken by
-# outgoing connections and by other runs on the same machine.
+# A loopback address used only by this run: on 127.0.0.1, outgoing connections and
+# other runs on the same machine take ports too.
 HOST=127.128.$(($$ / 256 % 256)).$(($$ % 254 + 1))
 BASE=20000
 PLATFORM=$HOST:$BASE
@@ -25,7 +25,7 @@
 operators() { echo "$HOST:$((BASE + 12 + $1 * 4))"; }
 target()    { echo "$HOST:$((BASE + 13 + $1 * 4))"; }
 
-# The fleet: VM, failure domain, region, service, slots.
+# The VMs of the fleet: VM, failure domain, region, service, slots.
 FLEET=(
   "lm1-tally lower-mainland-1 lower-mainland tally 12"
   "in1-tally interior-1 interior tally 12"
@@ -38,7 +38,8 @@
 )
 COUNT=${#FLEET[@]}
 
-# prepare_contracts copies the example contracts into one directory.
+# prepare_contracts creates an empty work directory and copies the example contracts
+# into it.
 prepare_contracts() {
   rm -rf "$WORK"
   mkdir -p "$WORK/contracts" "$WORK/keys" "$WORK/log"
@@ -81,8 +82,8 @@
 TOML
 }
 
-# start_platform_and_targets also makes the peers' certificates and the nodes'
-# settings, and lists the VMs on the platform.
+# start_platform_and_targets also issues the peer certificates, writes the settings of
+# the nodes, and sets the VM list of the platform.
 start_platform_and_targets() {
   bin/standin-platform --listen "$PLATFORM" >"$WORK/log/platform" 2>&1 & PIDS+=($!)
   bin/tamarackctl peer-cert authority --out "$WORK/keys/authority" >/dev/null
@@ -110,5 +111,5 @@
   done
 }
 
-# node_pid INDEX: the process id of a node
+# node_pid INDEX prints the process id of a node.
 node_pid() { echo "${PIDS[$((1 + COUNT + $1))]}"; }
--- a/scripts/play.sh
+++ b/scripts/play.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts the fleet of the demo, publishes the example contracts and keeps running
-# until it is interrupted, so that the pages' steps can be tried in another shell.
+# Starts the fleet of the demo, publishes the example contracts and runs until it is
+# interrupted, so that the steps of the documentation can be tried in another shell.
 # Needs bash, curl and the built programs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/publish.sh
+++ b/scripts/publish.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Puts what 'tamarackctl build' wrote onto the stand-in platform: the parts
-# first, the manifest last, since the manifest is what nodes act on. With a real
-# platform, use its own tool in the same order.
+# Uploads the output of 'tamarackctl build' to the fake platform: the parts first and
+# the manifest last, since nodes read the parts as soon as they see a new manifest. With
+# a real platform, use its own tool in the same order.
 set -euo pipefail
 [ $# = 2 ] || { echo "usage: scripts/publish.sh DIRECTORY http://PLATFORM" >&2; exit 2; }
-# Without this check curl would put an empty value where a file is missing, and
-# every node would refuse an empty manifest.
+# Without this check curl would upload an empty value for a missing file, and every
+# node would refuse the empty manifest.
 [ -s "$1/manifest" ] && [ -d "$1/part" ] || { echo "$1 is not what 'tamarackctl build' wrote" >&2; exit 1; }
 put() { curl -sSf -X PUT --data-binary @"$1" "$2"; }
 for part in "$1"/part/*; do
