--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -62,8 +62,8 @@
 	var options sidecarOptions
 	command := &cobra.Command{
 		Use:   "sidecar",
-		Short: "Serve callers beside a target on the users' platform",
-		Long: "Serve callers beside a target on the users' platform. The platform writes the settings file; its path\n" +
+		Short: "Serve callers as the sidecar of a target on the users' platform",
+		Long: "Serve callers as the sidecar of a target on the users' platform. The platform writes the settings file; its path\n" +
 			"is read from the environment variable " + platform.SettingsVariable + ".",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
