--- a/cmd/tamarackd/main.go
+++ b/cmd/tamarackd/main.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func printChecked(loaded settings.Settings) {
+func printCheckResult(loaded settings.Settings) {
 	for _, warning := range loaded.Warnings {
 		fmt.Println("warning:", warning)
 	}
@@ -49,7 +49,7 @@
 				os.Exit(exitFindings)
 			}
 			if checkOnly {
-				printChecked(loaded)
+				printCheckResult(loaded)
 				return nil
 			}
 			return run(loaded)
--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -21,7 +21,7 @@
 	// without a signal.
 	settingsPollInterval = 500 * time.Millisecond
 	// proxyTickInterval is how often waiting requests are started for which capacity
-	// became free through the passing of time alone.
+	// became free by the passing of time alone, without a request ending.
 	proxyTickInterval = 100 * time.Millisecond
 	// housekeepInterval is how often idle connections are closed and gauges are set.
 	housekeepInterval = time.Second
--- a/internal/command/audit/audit.go
+++ b/internal/command/audit/audit.go
@@ -48,7 +48,7 @@
 	}
 	flags := c.Flags()
 	nodes.AddFlag(c, &o.file)
-	flags.DurationVar(&o.since, "since", defaultSince, "only events of the last such time; 0 for all")
+	flags.DurationVar(&o.since, "since", defaultSince, "only events newer than this; 0 for all")
 	flags.StringSliceVar(&o.kinds, "kind", nil, "only events of these kinds")
 	flags.StringVar(&o.version, "version", "", "only events of this version (EPOCH.REVISION)")
 	flags.BoolVar(&o.versions, "versions", false, "one line per version: its publisher, how many nodes applied or refused it, and how fast")
