--- a/internal/node/measure_test.go
+++ b/internal/node/measure_test.go
@@ -110,7 +110,7 @@
 	return times
 }
 
-func (m *mesh) traffic() memnet.Traffic { return m.network.Traffic() }
+func (m *mesh) traffic() memnet.Traffic { return m.network.TakeTraffic() }
 
 // measureFleet measures the start without any state, then an idle period, then
 // the changes.
@@ -148,7 +148,7 @@
 	traffic := fleet.traffic()
 	rest := f.idleReads * time.Since(start).Seconds()
 	f.changeBytes += float64(traffic.Control+reads.Bytes) / float64(count) / changes
-	f.crossRegionBytes += float64(traffic.CrossControl+reads.CrossRegion) / changes
+	f.crossRegionBytes += float64(traffic.ControlCrossRegion+reads.CrossRegion) / changes
 	f.changeReads += max(0, float64(reads.Total)-rest) / changes
 	var took []time.Duration
 	for _, at := range fleet.appliedAt(m.version) {
@@ -215,7 +215,7 @@
 		time.Sleep(15 * time.Second)
 		m.traffic()
 		m.platform.TakeReads()
-		before := m.network.SentBy()
+		before := m.network.BytesSent()
 		for i := 0; i < len(m.nodes); i += measuredDomains {
 			m.kill(m.nodes[i])
 		}
@@ -225,14 +225,14 @@
 		took := m.converge(15 * time.Second)
 		time.Sleep(span - took)
 		busiest := 0
-		for id, sent := range m.network.SentBy() {
+		for id, sent := range m.network.BytesSent() {
 			busiest = max(busiest, sent-before[id])
 		}
 		traffic := m.traffic()
 		mean := float64(traffic.Bytes) / span.Seconds() / float64(len(m.nodes))
 		reads := m.platform.TakeReads()
 		t.Logf("all have the version after %s; %.0f bytes/s per node, %.0f at the busiest; %d bytes across regions; %d reads, %d in one second",
-			took, mean, float64(busiest)/span.Seconds(), traffic.CrossControl, reads.Total, reads.Peak)
+			took, mean, float64(busiest)/span.Seconds(), traffic.ControlCrossRegion, reads.Total, reads.Peak)
 		assert.Check(t, took < 8*time.Second, "%s", took)
 		assert.Check(t, mean < 10_000, "%.0f bytes/s", mean)
 		assert.Check(t, reads.Peak < 200, "%d reads/s", reads.Peak)
@@ -311,7 +311,7 @@
 // loseAnnounces drops a fraction of all announces, drawn with a fixed seed.
 func (m *mesh) loseAnnounces(part float64) {
 	random := rand.New(rand.NewPCG(3, 4))
-	m.network.Lose(func(_, _ membership.VM, message port.Message) bool {
+	m.network.SetLoss(func(_, _ membership.VM, message port.Message) bool {
 		return message.MessageType() == port.TypeAnnounce && random.Float64() < part
 	})
 }
--- a/internal/node/member_test.go
+++ b/internal/node/member_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	m := newMesh(t, count, domains)
 	t.Cleanup(m.stopAll)
-	m.network.Delay(linkDelay)
+	m.network.SetDelay(linkDelay)
 	time.Sleep(settleTime)
 	for _, mn := range m.nodes {
 		assert.Equal(t, len(mn.targets()), count, "%s after %s", mn.vm.ID, settleTime)
@@ -134,12 +134,12 @@
 				leaving := m.nodes[7]
 				notified := leaving.View().Peers[3].ID
 				if tt.lost {
-					m.network.Cut(func(from, to membership.VM) bool { return from.ID == leaving.vm.ID && to.ID != notified })
+					m.network.SetPartition(func(from, to membership.VM) bool { return from.ID == leaving.vm.ID && to.ID != notified })
 				}
 				leaving.beginStop()
 				took := m.waitUntil(3*time.Second, "planned stop", func() bool { return m.excluded(leaving.vm.ID) })
 				t.Logf("chosen by no node after %s", took)
-				m.network.Cut(func(membership.VM, membership.VM) bool { return false })
+				m.network.SetPartition(func(membership.VM, membership.VM) bool { return false })
 				leaving.running.Add(-1)
 				time.Sleep(time.Second)
 			})
@@ -217,7 +217,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 16, 4)
 		within := func(vm membership.VM) bool { return vm.FailureDomain == "domain-2" }
-		m.network.Cut(func(from, to membership.VM) bool { return within(from) != within(to) })
+		m.network.SetPartition(func(from, to membership.VM) bool { return within(from) != within(to) })
 		var inside, outside []*meshNode
 		for _, mn := range m.nodes {
 			if within(mn.vm) {
@@ -232,7 +232,7 @@
 			time.Sleep(30 * time.Second)
 			assert.Assert(t, m.complete(inside, 4) && m.complete(outside, 12))
 		}
-		m.network.Cut(func(membership.VM, membership.VM) bool { return false })
+		m.network.SetPartition(func(membership.VM, membership.VM) bool { return false })
 		took = m.waitUntil(20*time.Second, "heal", func() bool { return m.complete(m.nodes, 16) })
 		t.Logf("healed after %s", took)
 	})
@@ -245,14 +245,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 16, 4)
 		isolated := m.nodes[4]
-		m.network.Cut(func(from, to membership.VM) bool { return (from.ID == isolated.vm.ID) != (to.ID == isolated.vm.ID) })
+		m.network.SetPartition(func(from, to membership.VM) bool { return (from.ID == isolated.vm.ID) != (to.ID == isolated.vm.ID) })
 		m.waitUntil(5*time.Second, "exclusion of the isolated node", func() bool { return m.excluded(isolated.vm.ID, isolated) })
 		for range 10 {
 			time.Sleep(30 * time.Second)
 			assert.Assert(t, len(isolated.targets()) == 16, "%d targets", len(isolated.targets()))
 		}
 		assert.Check(t, isolated.Status().Isolated)
-		m.network.Cut(func(membership.VM, membership.VM) bool { return false })
+		m.network.SetPartition(func(membership.VM, membership.VM) bool { return false })
 		took := m.waitUntil(20*time.Second, "heal", func() bool { return m.complete(m.nodes, 16) })
 		t.Logf("healed after %s", took)
 	})
--- a/internal/node/memberchaos_test.go
+++ b/internal/node/memberchaos_test.go
@@ -55,7 +55,7 @@
 		cut := c.nodes[i].vm.FailureDomain
 		c.cut = cut
 		within := func(vm membership.VM) bool { return vm.FailureDomain == cut }
-		c.network.Cut(func(from, to membership.VM) bool { return within(from) != within(to) })
+		c.network.SetPartition(func(from, to membership.VM) bool { return within(from) != within(to) })
 		return "cut " + c.cut
 	case event == 5 && c.cut != "":
 		c.heal()
@@ -72,7 +72,7 @@
 
 func (c *chaos) heal() {
 	c.cut = ""
-	c.network.Cut(func(membership.VM, membership.VM) bool { return false })
+	c.network.SetPartition(func(membership.VM, membership.VM) bool { return false })
 }
 
 // checkDeparted checks that no node chooses one that departed, for nodes that
--- a/internal/node/mesh_test.go
+++ b/internal/node/mesh_test.go
@@ -251,7 +251,7 @@
 
 // links sets the one-way latencies between domains and between regions.
 func (m *mesh) links(domains, regions time.Duration) {
-	m.network.Delay(func(from, to membership.VM) time.Duration {
+	m.network.SetDelay(func(from, to membership.VM) time.Duration {
 		switch {
 		case from.Region != to.Region:
 			return regions
@@ -260,7 +260,7 @@
 		}
 		return 200 * time.Microsecond
 	})
-	m.platform.Delay(func(vm membership.VM) time.Duration {
+	m.platform.SetDelay(func(vm membership.VM) time.Duration {
 		if vm.Region != memnet.HomeRegion {
 			return 2 * regions
 		}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -193,10 +193,10 @@
 	default:
 		return Failed, response.StatusCode, string(content)
 	}
-	proof := response.Header.Get(usertarget.HeaderProof)
+	proof := response.Header.Get(usertarget.HeaderSignature)
 	instance, _, _ := strings.Cut(proof, ".")
 	complete := bytes.Equal(content, usertarget.Body(id, size))
-	if !complete || proof != usertarget.Proof(instance, id) {
+	if !complete || proof != usertarget.Signature(instance, id) {
 		return Wrong, response.StatusCode, detail
 	}
 	return Answered, response.StatusCode, ""
--- a/internal/soak/cli/standins.go
+++ b/internal/soak/cli/standins.go
@@ -88,7 +88,7 @@
 	go func() { failed <- http.ListenAndServe(o.control, o.controlHandler(t, startTime, stop)) }()
 	registered, end := context.WithCancel(context.Background())
 	defer end()
-	go o.registration.Keep(registered, startTime)
+	go o.registration.Run(registered, startTime)
 	select {
 	case err := <-failed:
 		return errors.Wrap(err, "target")
@@ -96,7 +96,7 @@
 	}
 	wait.Sleep(context.Background(), shutdownDelay)
 	end()
-	return o.registration.Remove(context.Background())
+	return o.registration.Deregister(context.Background())
 }
 
 // crashExitCode is the exit code of a target that a request crashed.
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -135,7 +135,7 @@
 		Name: m.name, IP: m.private, Zone: m.zone, Region: zones[m.zone], Service: m.service,
 		Target: hostPort(m.public, portTarget), Callers: hostPort(m.private, portCallers), Ready: hostPort(m.private, portReady),
 		PeerPort: portPeers, Store: hostPort(storeHost, portStore), Zones: zones,
-		Bounds: userfiles.Bounds{Grace: grace, RepeatRatio: retryRatio, RepeatFew: retrySlack},
+		Bounds: userfiles.Bounds{Grace: grace, RetryRatio: retryRatio, RetrySlack: retrySlack},
 	}
 	settings, err := node.Settings()
 	if err != nil {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -33,11 +33,11 @@
 
 // failingMode is the behaviour of a failing target, which still serves most of its
 // requests.
-var failingMode = usertarget.Mode{Lose: 0.1, Cut: 0.1, Shed: 0.2, Fail: 0.1}
+var failingMode = usertarget.Mode{LossRate: 0.1, CutRate: 0.1, ShedRate: 0.2, FailureRate: 0.1}
 
 // overloadedMode is the behaviour of every target of a service under
 // OverloadedService.
-var overloadedMode = usertarget.Mode{Shed: 0.9}
+var overloadedMode = usertarget.Mode{ShedRate: 0.9}
 
 // inject injects the faults of a plan and returns when the last one has ended.
 func (f *fleet) inject(ctx context.Context, plan []Fault) error {
@@ -79,7 +79,7 @@
 	case BusyStore:
 		return f.busyStore(ctx, fault.Duration)
 	case CompactStore:
-		return f.postToStore(userstore.PathForget, nil, nil)
+		return f.postToStore(userstore.PathCompact, nil, nil)
 	case KillAll:
 		return f.killAllNodes(ctx, fault.Duration)
 	case CrashRequest:
@@ -213,7 +213,7 @@
 func (f *fleet) degradeTarget(ctx context.Context, m *machine, fault Fault) error {
 	mode := failingMode
 	if fault.Kind == SlowTarget {
-		mode = usertarget.Mode{Slower: slowFactor}
+		mode = usertarget.Mode{Slowdown: slowFactor}
 	}
 	if !m.targetRestart.TryLock() {
 		return nil
