--- a/internal/mesh/parts_test.go
+++ b/internal/mesh/parts_test.go
@@ -42,14 +42,14 @@
 			if len(feeds[i]) == 0 {
 				feeds = slices.Delete(feeds, i, i+1)
 			}
-			inForce := view.Table().Config
-			complete := versions[inForce.Version-1]
-			assert.Equal(t, len(inForce.Routes), len(complete.Routes))
+			active := view.Table().Config
+			complete := versions[active.Version-1]
+			assert.Equal(t, len(active.Routes), len(complete.Routes))
 			want := map[string]Route{}
 			for _, route := range complete.Routes {
 				want[route.Name] = route
 			}
-			for _, route := range inForce.Routes {
+			for _, route := range active.Routes {
 				other := want[route.Name]
 				assert.Assert(t, route.Equal(&other))
 			}
--- a/internal/mesh/since.go
+++ b/internal/mesh/since.go
@@ -31,9 +31,9 @@
 func (v *View) Checkpoint() Checkpoint { return Checkpoint{Version: v.Version(), Revision: v.revision} }
 
 // PositionFor returns the initial position of a neighbour that reported a checkpoint.
-func (v *View) PositionFor(held Checkpoint) Position {
-	position := Position{Revision: held.Revision}
-	if v.table != nil && v.Version() == held.Version {
+func (v *View) PositionFor(checkpoint Checkpoint) Position {
+	position := Position{Revision: checkpoint.Revision}
+	if v.table != nil && v.Version() == checkpoint.Version {
 		position.Config = v.table.Config
 	}
 	return position
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -70,10 +70,11 @@
 	// of which some parts have arrived.
 	deltas     []cachedDelta
 	assemblies []*assembly
-	// currentAt is the latest time as of which the view is known to have been current.
+	// currentAt is the latest time at which the platform is known to have held nothing newer
+	// than the view.
 	currentAt time.Time
-	// membersCurrentAt is the latest time as of which the view is known to have been
-	// current except for a configuration that is still being received.
+	// membersCurrentAt is the latest time at which the platform is known to have held
+	// nothing newer than the view, except for a configuration that is still being received.
 	membersCurrentAt time.Time
 	// revision is the platform revision up to which the view holds all changes.
 	revision uint64
@@ -188,7 +189,8 @@
 	return v.Lag(now) > outageAfter && v.ReadFailed()
 }
 
-// Members returns all known targets by id. The caller must not modify the map.
+// Members returns all known targets by id. The map belongs to the view: it changes with the
+// view, and callers must not modify it.
 func (v *View) Members() map[string]*Member { return v.members }
 
 // ReadyByService returns the ready targets by service. Of several entries with the same
@@ -388,7 +390,8 @@
 		v.setMember(removal.ID, nil)
 		return
 	}
-	// Members are shared with other goroutines, so they are replaced, not modified.
+	// Callers may still read a member that was returned to them, so it is replaced, not
+	// modified.
 	lapsed := *known
 	lapsed.UsableUntil = sent.Add(removal.Grace)
 	v.setMember(removal.ID, &lapsed)
