--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -60,8 +60,8 @@
 // Feed receives updates from another node.
 type Feed interface {
 	// Follow passes every update to take until the feed breaks or ctx ends. Data covered by
-	// held is not sent again.
-	Follow(ctx context.Context, address string, held mesh.Checkpoint, take func(*mesh.Update) error) error
+	// checkpoint is not sent again.
+	Follow(ctx context.Context, address string, checkpoint mesh.Checkpoint, take func(*mesh.Update) error) error
 }
 
 // Config configures a Follower.
@@ -202,9 +202,9 @@
 	return err
 }
 
-// activate logs a new configuration version and passes the view to onChange. It is called
-// only with a view that has been current: with an older one, removed routes would be served
-// and new routes not found.
+// activate logs a new configuration version and passes the view to onChange. It must not be
+// called before the view has been current once: removed routes would be served and new
+// routes not found.
 func (f *Follower) activate(before uint64, first bool) {
 	if version := f.view.Version(); version != 0 && (first || version != before) {
 		f.log.Info().Uint64(logfield.Version, version).Uint64(logfield.Before, before).
--- a/internal/follow/large_test.go
+++ b/internal/follow/large_test.go
@@ -71,7 +71,7 @@
 		assert.Equal(t, len(used), 0, "%v", used)
 		most, _ := w.takeSent()
 		// Each feed carries the routes once, and some nodes serve more feeds than
-		// fanout.Most.
+		// fanout.FeedsPerVM, which is an average.
 		assert.Assert(t, most <= 3*fanout.FeedsPerVM*(routeBytes*manyRoutes+entryBytes+20*heartbeatBytes), "%d bytes", most)
 	})
 }
@@ -215,7 +215,7 @@
 	}
 }
 
-// countCurrent returns the number of nodes whose view was current within the given time.
+// countCurrent returns the number of nodes whose view is at most as old as the given time.
 func (w *world) countCurrent(within time.Duration) int {
 	count := 0
 	for _, f := range w.nodes {
@@ -230,14 +230,14 @@
 // several other nodes that restart as well.
 func TestRestartOfAllIsCurrentAtOnce(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
-		const answering = 200 * time.Millisecond
+		const responseDelay = 200 * time.Millisecond
 		w.mu.Lock()
-		w.responseDelay = answering
+		w.responseDelay = responseDelay
 		w.mu.Unlock()
 		w.publish(2)
 		w.restartAll()
 		w.takeReads()
-		time.Sleep(answering + 10*time.Millisecond)
+		time.Sleep(responseDelay + 10*time.Millisecond)
 		assert.Equal(t, w.countCurrent(time.Second), len(w.nodes))
 		assert.Equal(t, len(w.lagging(2)), 0, "%v", w.lagging(2))
 	})
--- a/internal/follow/late_test.go
+++ b/internal/follow/late_test.go
@@ -30,12 +30,13 @@
 	return found
 }
 
-// Guards against requests to a target beyond the bound of 3 s after its departure was
-// confirmed; 3.05 s were observed. On full links, the removal reached the readers in one
-// late response together with a change of 1,800 routes. The resulting age of the view was
-// taken for a platform outage, although no read had failed, and the target got the grace
-// period of an expired lease. If age alone decides on an outage, these events keep the
-// target in use for over 3 s.
+// Guards against requests to a target beyond the bound of 3 s after the platform confirmed
+// its departure; users saw two lookups after 3.05 s. On full links, the removal reached the
+// readers in one late response together with a change of 1,800 routes. The resulting age of
+// the view was taken for a platform outage, and the target got the grace period of an
+// expired lease. In a replay, the entry went from "ready" to "gone" in one update with the
+// change, and no read failed near that time. If age alone decides on an outage, the same
+// events keep the target in use for over 3 s here.
 func TestLateAnswerKeepsNoTargetThatLeft(t *testing.T) {
 	simulateWithin(t, departureBound, func(t *testing.T, w *world) {
 		w.mu.Lock()
--- a/internal/follow/neighbours.go
+++ b/internal/follow/neighbours.go
@@ -31,7 +31,7 @@
 func (f *Follower) neighbours() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	o := f.currentTopology()
+	t := f.currentTopology()
 	var chosen []string
 	add := func(address string) {
 		if address != f.config.Self && !slices.Contains(chosen, address) {
@@ -43,12 +43,12 @@
 	}
 	orphaned := f.orphaned()
 	if orphaned || f.view.Lag(f.clock.Now()) > f.timing.moreParentsAfter {
-		for _, vm := range o.first(fallbackParents) {
+		for _, vm := range t.first(fallbackParents) {
 			add(vm.PeerAddress)
 		}
 	}
-	if o.rank < readers || orphaned && o.rank < failoverNodes {
-		for _, region := range o.remoteReaders {
+	if t.rank < readers || orphaned && t.rank < failoverNodes {
+		for _, region := range t.remoteReaders {
 			for _, vm := range f.firstReachable(region) {
 				add(vm.PeerAddress)
 			}
@@ -66,15 +66,15 @@
 // parents, and also the readers while a parent's feed is broken or updates are late. It
 // must be called with the mutex held.
 func (f *Follower) sources() []membership.VM {
-	o := f.currentTopology()
+	t := f.currentTopology()
 	late := f.view.Lag(f.clock.Now()) > f.timing.farReaderAfter
-	for _, vm := range o.parents {
+	for _, vm := range t.parents {
 		late = late || f.broken[vm.PeerAddress]
 	}
 	if late {
-		return append(slices.Clip(o.parents), o.first(readers)...)
+		return append(slices.Clip(t.parents), t.first(readers)...)
 	}
-	return o.parents
+	return t.parents
 }
 
 // firstReachable returns only the first of the VMs unless the feed to it is broken. In that
--- a/internal/follow/notices.go
+++ b/internal/follow/notices.go
@@ -9,7 +9,7 @@
 // Notices holds the crash notices that nodes exchange. They are sent in both directions on
 // each feed, so that a notice from any node reaches all nodes.
 type Notices interface {
-	// Open returns an identifier for a new feed.
+	// NewFeed returns an identifier for a new feed.
 	NewFeed() quarantine.Feed
 	// Since returns the notices after a position that the neighbour on a feed lacks, its
 	// position afterwards, and a channel that is closed when there are more.
--- a/internal/follow/transit.go
+++ b/internal/follow/transit.go
@@ -15,9 +15,9 @@
 	startedAt time.Time
 }
 
-// sentAt returns the earliest time at which the message that arrives now was sent. Sent is
-// the send time relative to the start of the feed, by the sender's clock; zero if the
-// sender doesn't report it.
+// sentAt returns the earliest time at which the message that arrives now may have been sent.
+// Sent is the send time relative to the start of the feed, by the sender's clock; zero if
+// the sender doesn't report it.
 func (c *feedClock) sentAt(sent time.Duration, now time.Time) time.Time {
 	if !c.received {
 		// The first message carries the sender's complete view and may be long in transit.
--- a/internal/follow/world_link_test.go
+++ b/internal/follow/world_link_test.go
@@ -19,8 +19,8 @@
 // rejects the node.
 func (l *link) checkAccess(ctx context.Context) error {
 	l.world.mu.Lock()
-	cut, refused := l.world.cut[l.node], l.world.rejected[l.node]
-	if refused && !cut {
+	cut, rejected := l.world.cut[l.node], l.world.rejected[l.node]
+	if rejected && !cut {
 		l.world.rejectedCalls++
 	}
 	l.world.mu.Unlock()
@@ -29,7 +29,7 @@
 		defer cancel()
 		<-ctx.Done()
 	}
-	if cut || refused {
+	if cut || rejected {
 		return errUnreachable
 	}
 	return nil
@@ -98,9 +98,9 @@
 // awaitResponse waits until a response of the platform has arrived completely.
 func (l *link) awaitResponse(ctx context.Context) error {
 	l.world.mu.Lock()
-	answering := l.world.responseDelay
+	delay := l.world.responseDelay
 	l.world.mu.Unlock()
-	if !wait.Sleep(ctx, answering) {
+	if !wait.Sleep(ctx, delay) {
 		return ctx.Err()
 	}
 	return l.checkAccess(ctx)
@@ -153,7 +153,7 @@
 	return changes
 }
 
-func (l *link) Follow(ctx context.Context, address string, held mesh.Checkpoint, take func(*mesh.Update) error) error {
+func (l *link) Follow(ctx context.Context, address string, checkpoint mesh.Checkpoint, take func(*mesh.Update) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := l.world
@@ -187,7 +187,7 @@
 			}
 		}
 	})
-	return other.Serve(ctx, l.node, held, func(update *mesh.Update) error {
+	return other.Serve(ctx, l.node, checkpoint, func(update *mesh.Update) error {
 		if w.isCut(l.node, address) {
 			return nil
 		}
--- a/internal/follow/world_test.go
+++ b/internal/follow/world_test.go
@@ -65,7 +65,7 @@
 	linkFreeAt map[string]time.Time
 	sentBytes  map[string]int
 	nodes      map[string]*Follower
-	// crashes holds each node's state of requests that crash targets, noticeBytes the size
+	// crashes holds each node's ledger of requests that crash targets, noticeBytes the size
 	// of the notices that each node has sent.
 	crashes     map[string]*quarantine.SharedLedger
 	noticeBytes map[string]int
@@ -175,13 +175,13 @@
 	return func(_ context.Context, address string) {
 		w.mu.Lock()
 		other := w.nodes[address]
-		quiet := w.announceOff
+		announceOff := w.announceOff
 		delay := w.announceDelay
 		w.mu.Unlock()
 		if w.isCut(from, address) {
 			time.Sleep(delay)
 		}
-		if other != nil && !quiet && !w.isCut(from, address) {
+		if other != nil && !announceOff && !w.isCut(from, address) {
 			other.AddHint(from)
 		}
 	}
