--- a/internal/distribution/bench_test.go
+++ b/internal/distribution/bench_test.go
@@ -90,8 +90,8 @@
 	return float64(after.HeapAlloc-before.HeapAlloc) / copies
 }
 
-// BenchmarkAudience measures the selection of the peers for an announcement.
-func BenchmarkAudience(b *testing.B) {
+// BenchmarkAnnouncePeers measures the selection of the peers for an announcement.
+func BenchmarkAnnouncePeers(b *testing.B) {
 	for _, nodes := range []int{120, 240, 1600} {
 		vms := fleetVMs(nodes, 13, 4)
 		b.Run(fmt.Sprintf("nodes-%d", nodes), func(b *testing.B) {
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -349,13 +349,13 @@
 	for _, src := range s.sources {
 		times = append(times, src.readyAt())
 	}
-	var wake time.Time
+	var next time.Time
 	for _, t := range times {
-		if t.After(now) && (wake.IsZero() || t.Before(wake)) {
-			wake = t
+		if t.After(now) && (next.IsZero() || t.Before(next)) {
+			next = t
 		}
 	}
-	return wake
+	return next
 }
 
 // proceed starts all actions that are possible now.
--- a/internal/distribution/effect.go
+++ b/internal/distribution/effect.go
@@ -43,7 +43,7 @@
 	Findings finding.List
 }
 
-// Conflict reports to operators that one publication overwrote another.
+// Conflict reports to operators that two of them published over each other.
 type Conflict struct {
 	Version  snapshot.Version
 	Root     snapshot.Hash
--- a/internal/distribution/memory.go
+++ b/internal/distribution/memory.go
@@ -81,7 +81,7 @@
 	case offered.newerThan(applied) && manifest.Parent != applied.root && slices.Contains(s.history.roots, manifest.Parent):
 		found = finding.Finding{Code: CodeLostUpdate, Key: "parent",
 			Problem: fmt.Sprintf("version %s was built from %s, before version %s", offered.version, manifest.Parent.Short(), applied.version),
-			Hint:    "use tamarackctl diff to find the lost change and publish it again"}
+			Hint:    "check with tamarackctl diff what was lost and publish it again"}
 	default:
 		return nil
 	}
--- a/internal/distribution/place.go
+++ b/internal/distribution/place.go
@@ -170,14 +170,14 @@
 	}
 }
 
-func (p *peerSet) addFirstOfEach(salt []byte, places map[string][]membership.VM) {
-	names := make([]string, 0, len(places))
-	for name := range places {
+func (p *peerSet) addFirstOfEach(salt []byte, groups map[string][]membership.VM) {
+	names := make([]string, 0, len(groups))
+	for name := range groups {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		p.add(sortByScore(salt, places[name])[0])
+		p.add(sortByScore(salt, groups[name])[0])
 	}
 }
 
--- a/internal/distribution/staging.go
+++ b/internal/distribution/staging.go
@@ -59,8 +59,8 @@
 }
 
 // PartsReceived processes parts of the staged version. Parts that its manifest
-// does not list are dropped. A requested source that delivered no needed part
-// counts as failed.
+// does not list are dropped. If the source of the pending request delivers no
+// missing part, this counts as a failed fetch.
 func (s *State) PartsReceived(now time.Time, from Source, parts [][]byte) []Effect {
 	if s.staged == nil {
 		return nil
@@ -222,7 +222,7 @@
 	var found finding.List
 	for _, hash := range missing[:min(len(missing), maxPartsReported)] {
 		found = append(found, finding.Finding{Code: snapshot.CodePartMissing, File: "version", Key: "part " + hash.Short(),
-			Problem: "the platform serves no content with this hash", Hint: "publish the part, or publish the version again under a higher revision"})
+			Problem: "the platform gives no content with this hash", Hint: "publish the part, or the version again under a higher revision"})
 	}
 	return []Effect{Incomplete{Version: staged.version, Root: staged.root, Findings: found}}
 }
