--- a/internal/membership/domain_test.go
+++ b/internal/membership/domain_test.go
@@ -31,10 +31,10 @@
 		toTwo, toOne := one.Contacts(now), two.Contacts(now)
 		now = now.Add(transit)
 		for _, table := range []*Table{one, two} {
-			table.ContactMade(now, domainVM("mate", "a-1"))
+			table.ContactMade(now, domainVM("near", "a-1"))
 		}
-		two.ContactsReceived(now, domainVM("mate", "a-1"), toTwo)
-		one.ContactsReceived(now, domainVM("mate", "a-1"), toOne)
+		two.ContactsReceived(now, domainVM("near", "a-1"), toTwo)
+		one.ContactsReceived(now, domainVM("near", "a-1"), toOne)
 		one.Tick(now)
 	}
 	assert.DeepEqual(t, one.View(now).Unreachable, []string{"b-1"})
@@ -46,12 +46,12 @@
 func TestContactsOfOwnDomainCount(t *testing.T) {
 	one, _ := newTablePair()
 	expired := testStart.Add(DefaultConfig().domainTimeout() + time.Second)
-	one.ContactMade(expired, domainVM("mate", "a-1"))
+	one.ContactMade(expired, domainVM("near", "a-1"))
 	fresh := []DomainContact{{FailureDomain: "b-1", AgeMillis: 100}}
-	one.ContactsReceived(expired, domainVM("stranger", "c-1"), fresh)
+	one.ContactsReceived(expired, domainVM("other", "c-1"), fresh)
 	one.Tick(expired)
 	assert.DeepEqual(t, one.View(expired).Unreachable, []string{"b-1"})
-	one.ContactsReceived(expired, domainVM("mate", "a-1"), fresh)
+	one.ContactsReceived(expired, domainVM("near", "a-1"), fresh)
 	one.Tick(expired)
 	assert.Equal(t, len(one.View(expired).Unreachable), 0)
 }
@@ -100,7 +100,7 @@
 	one, _ := newTablePair()
 	probes := 0
 	for now := testStart; now.Sub(testStart) <= DefaultConfig().domainTimeout(); now = now.Add(time.Second) {
-		one.ContactMade(now, domainVM("mate", "a-1"))
+		one.ContactMade(now, domainVM("near", "a-1"))
 		one.crossCredit = -1 // disables the regular cross-domain probes
 		for _, probe := range one.Tick(now) {
 			if probe.VM.ID == "far" {
@@ -129,10 +129,10 @@
 	now := testStart
 	tick := func(span time.Duration, list bool) {
 		for end := now.Add(span); now.Before(end); now = now.Add(10 * time.Second) {
-			one.ContactMade(now, domainVM("mate", "a-1"))
+			one.ContactMade(now, domainVM("near", "a-1"))
 			one.Tick(now)
 			if list {
-				one.ListReceived(now, []Record{listedRecord("mate", Live)})
+				one.ListReceived(now, []Record{listedRecord("near", Live)})
 			}
 		}
 		one.Sweep(now)
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -37,12 +37,12 @@
 // All nodes must end with the same records, digest and targets.
 func TestTablesConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records := rapid.SliceOfN(genRecord(), 1, 20).Draw(t, "words")
+		records := rapid.SliceOfN(genRecord(), 1, 20).Draw(t, "records")
 		one, two := newTestTable(), newTestTable()
 		for _, record := range records {
 			one.RecordReceived(testStart, record)
 		}
-		reordered := append(rapid.Permutation(records).Draw(t, "crossed"), rapid.SliceOf(rapid.SampledFrom(records)).Draw(t, "doubled")...)
+		reordered := append(rapid.Permutation(records).Draw(t, "reordered"), rapid.SliceOf(rapid.SampledFrom(records)).Draw(t, "duplicates")...)
 		for _, record := range reordered {
 			two.RecordReceived(testStart, record)
 		}
@@ -68,7 +68,7 @@
 			case 1:
 				table.Tick(now)
 			default:
-				record := genRecord().Draw(t, "word")
+				record := genRecord().Draw(t, "record")
 				if table.RecordReceived(now, record) && record.State.departureRank() > 0 {
 					departed[record.VM.ID] = record.Incarnation
 				}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,8 +7,8 @@
 
 // View is an immutable snapshot of the table, read by requests.
 type View struct {
-	// Peers are all other VMs to which control messages may be sent, sorted by
-	// id.
+	// Peers are all other VMs in reachable domains to which control messages may
+	// be sent, sorted by id.
 	Peers []VM
 	// Targets are the VMs that take new work, by service, sorted by id.
 	Targets map[string][]VM
