--- a/internal/node/baseline_test.go
+++ b/internal/node/baseline_test.go
@@ -59,7 +59,7 @@
 	var f figures
 	synctest.Test(t, func(t *testing.T) {
 		m := emptyMesh(t, count, measuredDomains)
-		m.links(d.domains, regionLatency)
+		m.links(d.domainLatency, regionLatency)
 		fleet := &baselineFleet{version: make([]snapshot.Version, count), at: make([]time.Time, count)}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
--- a/internal/node/choice_test.go
+++ b/internal/node/choice_test.go
@@ -114,9 +114,8 @@
 	return got
 }
 
-// One of six targets has a fault that its load reports don't show. A node that
-// relied on the reports alone would keep sending requests to it; the node also
-// counts and times its own attempts, so that hardly any caller is affected.
+// One of six targets has a fault that its load reports don't show. Hardly any
+// caller may be affected, since the node counts and times its own attempts.
 // Virtual time makes the figures reproducible.
 func TestOneFaultyTargetInSix(t *testing.T) {
 	cases := []struct {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -30,7 +30,8 @@
 	n.publish(now)
 }
 
-// minTimerInterval prevents a busy loop when an action is due again at once.
+// minTimerInterval is the shortest time for which the timer is set. It prevents a
+// busy loop if an action is due again at once.
 const minTimerInterval = time.Millisecond
 
 // resetTimer sets the timer to distribution's next action before the next tick.
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -70,8 +70,8 @@
 		return &requestbody.Body{}, nil
 	}
 	control := http.NewResponseController(w)
-	// The error is ignored: only the response recorders of tests support no
-	// deadlines, connections always do.
+	// The error is ignored: connections always support deadlines, only the
+	// response recorders of tests don't.
 	_ = control.SetReadDeadline(call.Deadline)
 	body, length, err := requestbody.Read(r.Body, r.ContentLength)
 	_ = control.SetReadDeadline(time.Time{})
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -19,7 +19,7 @@
 	down := PlatformStatus{State: PlatformUnreachable}
 	for _, test := range []struct {
 		desc    string
-		facts   healthInput
+		input   healthInput
 		want    HealthState
 		reasons int
 	}{
@@ -40,7 +40,7 @@
 		{"stops in an outage", healthInput{stopping: true, ready: true, applied: one, platform: down}, HealthStopping, 2},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			state, reasons := computeHealth(test.facts)
+			state, reasons := computeHealth(test.input)
 			assert.Equal(t, state, test.want)
 			assert.Equal(t, len(reasons), test.reasons, "%v", reasons)
 		})
@@ -114,21 +114,21 @@
 
 // In an overload every refusal is counted; the counting must not add load.
 func TestCountingRefusalsAllocatesNothing(t *testing.T) {
-	tally := newRefusalCounter(time.Unix(100, 0))
-	tally.add(port.ReasonLimit)
-	assert.Equal(t, testing.AllocsPerRun(100, func() { tally.add(port.ReasonLimit) }), 0.0)
+	counter := newRefusalCounter(time.Unix(100, 0))
+	counter.add(port.ReasonLimit)
+	assert.Equal(t, testing.AllocsPerRun(100, func() { counter.add(port.ReasonLimit) }), 0.0)
 }
 
 func TestRefusalsAreSummedUpByReason(t *testing.T) {
 	start := time.Unix(100, 0)
-	tally := newRefusalCounter(start)
+	counter := newRefusalCounter(start)
 	for range 1000 {
-		tally.add(port.ReasonLimit)
+		counter.add(port.ReasonLimit)
 	}
-	assert.Equal(t, len(tally.due(start.Add(time.Second))), 0)
-	events := tally.due(start.Add(refusalPeriod))
+	assert.Equal(t, len(counter.due(start.Add(time.Second))), 0)
+	events := counter.due(start.Add(refusalPeriod))
 	assert.Equal(t, len(events), 1)
 	assert.Equal(t, events[0].Subject+": "+events[0].Detail, "limit: 1000 in 1m0s")
-	assert.Equal(t, len(tally.due(start.Add(2*refusalPeriod))), 0)
-	assert.Equal(t, tally.totals()[port.ReasonLimit], 1000)
+	assert.Equal(t, len(counter.due(start.Add(2*refusalPeriod))), 0)
+	assert.Equal(t, counter.totals()[port.ReasonLimit], 1000)
 }
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -88,9 +88,9 @@
 }
 
 // exchangeHeartbeat sends a heartbeat, records the peer's own from the reply,
-// and reports whether the reply came from the VM itself. If another VM has taken
-// over the address, its heartbeat is recorded, but is no evidence that the
-// first VM is alive.
+// and reports whether the reply came from the probed VM. If another VM has taken
+// over the address, its heartbeat is recorded, but is no evidence that the probed
+// VM is alive.
 func (n *Node) exchangeHeartbeat(ctx context.Context, vm membership.VM) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.probeTimeout())
 	defer cancel()
--- a/internal/node/measure_test.go
+++ b/internal/node/measure_test.go
@@ -20,10 +20,11 @@
 )
 
 // deployment is one of the two deployments to design for, each of three regions
-// with two domains. domains is the one-way latency between domains of a region.
+// with two domains.
 type deployment struct {
-	name    string
-	domains time.Duration
+	name string
+	// domainLatency is the one-way latency between the domains of a region.
+	domainLatency time.Duration
 }
 
 var (
@@ -76,16 +77,16 @@
 	changeBytes, crossRegionBytes, changeReads float64
 	// idleReads are reads per second, idleBytes bytes per second and node.
 	idleReads, idleBytes float64
-	// startTime is the time until all nodes have the first version, and
+	// startDuration is the time until all nodes have the first version, and
 	// peakReads the most reads in one second meanwhile.
-	startTime time.Duration
-	peakReads int
+	startDuration time.Duration
+	peakReads     int
 }
 
 func (f figures) String() string {
 	return fmt.Sprintf("| %3d | %v | %v | %v | %.0f | %.0f | %.1f | %.2f | %.0f | %v | %d |", f.nodes,
 		f.p50.Round(time.Millisecond), f.p99.Round(time.Millisecond), f.max.Round(time.Millisecond), f.changeBytes, f.crossRegionBytes, f.changeReads,
-		f.idleReads, f.idleBytes, f.startTime.Round(10*time.Millisecond), f.peakReads)
+		f.idleReads, f.idleBytes, f.startDuration.Round(10*time.Millisecond), f.peakReads)
 }
 
 const figuresHeader = "| nodes | p50 | p99 | max | bytes/node/change | cross-region bytes/change | reads/change | reads/s at rest | bytes/s/node at rest, without heartbeats | start of all | peak reads/s |"
@@ -119,7 +120,7 @@
 	start := time.Now()
 	m.publishSet(measuredSet(0))
 	waitApplied(m, fleet, count)
-	f.startTime = time.Since(start)
+	f.startDuration = time.Since(start)
 	time.Sleep(15 * time.Second)
 	f.peakReads = m.platform.TakeReads().Peak
 	fleet.traffic()
@@ -172,7 +173,7 @@
 	var f figures
 	synctest.Test(t, func(t *testing.T) {
 		m := emptyMesh(t, count, measuredDomains)
-		m.links(d.domains, regionLatency)
+		m.links(d.domainLatency, regionLatency)
 		adjust(m)
 		m.startAll(count, measuredDomains)
 		defer m.stopAll()
@@ -209,7 +210,7 @@
 		const span = 30 * time.Second
 		m := newMesh(t, 48, measuredDomains)
 		defer m.stopAll()
-		m.links(coOperative.domains, regionLatency)
+		m.links(coOperative.domainLatency, regionLatency)
 		m.publishSet(measuredSet(0))
 		m.converge(15 * time.Second)
 		time.Sleep(15 * time.Second)
@@ -309,10 +310,10 @@
 }
 
 // loseAnnounces drops a fraction of all announces, drawn with a fixed seed.
-func (m *mesh) loseAnnounces(part float64) {
+func (m *mesh) loseAnnounces(fraction float64) {
 	random := rand.New(rand.NewPCG(3, 4))
 	m.network.SetLoss(func(_, _ membership.VM, message port.Message) bool {
-		return message.MessageType() == port.TypeAnnounce && random.Float64() < part
+		return message.MessageType() == port.TypeAnnounce && random.Float64() < fraction
 	})
 }
 
@@ -322,12 +323,12 @@
 	requireMeasure(t)
 	for _, lost := range []float64{0, 0.3, 1} {
 		for _, readers := range []int{1, 2} {
-			for _, patience := range []time.Duration{0, 250 * time.Millisecond, time.Second, 4 * time.Second} {
+			for _, delay := range []time.Duration{0, 250 * time.Millisecond, time.Second, 4 * time.Second} {
 				f := measureMesh(t, coOperative, 48, func(m *mesh) {
-					m.config.CrossRegionDelay, m.pace.Readers = patience, readers
+					m.config.CrossRegionDelay, m.pace.Readers = delay, readers
 					m.loseAnnounces(lost)
 				})
-				t.Logf("| %.0f %% | %d | %v | %v | %v | %v | %.0f | %.0f |", 100*lost, readers, patience,
+				t.Logf("| %.0f %% | %d | %v | %v | %v | %v | %.0f | %.0f |", 100*lost, readers, delay,
 					f.p50.Round(time.Millisecond), f.p99.Round(time.Millisecond), f.max.Round(time.Millisecond), f.changeBytes, f.crossRegionBytes)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,7 @@
 // Config holds a node's settings.
 type Config struct {
 	Self membership.VM
-	// Seeds are peer addresses to probe while no peer is known, because the
+	// Seeds are peer addresses to probe while no peer is known, as when the
 	// platform's list is unavailable.
 	Seeds        []string
 	Heartbeat    time.Duration
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -21,7 +21,8 @@
 	refusals *refusalCounter
 
 	// lastRound is when gauges were last set; auditedPlatform is the platform's
-	// last state for the audit trail. Only the control loop accesses both.
+	// state at the last check for an audit event. Only the control loop accesses
+	// both.
 	lastRound       time.Time
 	auditedPlatform PlatformState
 }
--- a/internal/node/pause.go
+++ b/internal/node/pause.go
@@ -50,7 +50,7 @@
 // disconnected; serving such a request would run it past its deadline. Requests
 // check both PausedFor and ready, so ready is cleared before lastRun, which
 // resets PausedFor, is set: no request can pass both checks in between. The next
-// publish computes ready anew.
+// publish recomputes ready.
 func (n *Node) checkPause(now time.Time) {
 	gap := n.PausedFor(now)
 	if gap == 0 {
--- a/internal/node/platformstatus.go
+++ b/internal/node/platformstatus.go
@@ -15,14 +15,14 @@
 // PlatformState is the platform's state as shown by the node's own reads.
 type PlatformState string
 
-// The platform states. A node that is no reader may never have read it.
+// The platform states. A node that is no reader may never have read the platform.
 const (
 	PlatformNotRead     PlatformState = "not-read"
 	PlatformReachable   PlatformState = "reachable"
 	PlatformUnreachable PlatformState = "unreachable"
 )
 
-// PlatformStatus is the platform's state and the last results of reads.
+// PlatformStatus holds the platform's state and the results of the last reads.
 type PlatformStatus struct {
 	State PlatformState `json:"state"`
 	// Since is when the state began; zero while nothing was read.
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -34,8 +34,8 @@
 }
 
 // isReader reports whether this node is among its region's readers. Nodes with
-// different views may disagree, which costs additional reads but is never
-// incorrect.
+// different views may disagree. This costs additional reads, but does not affect
+// correctness.
 func (n *Node) isReader() bool {
 	return int(n.rank.Load()) < n.config.ReadPacing.Readers && n.settled()
 }
@@ -44,8 +44,8 @@
 // of the platform's list: many of them may no longer exist.
 const settleTimeout = 5 * time.Second
 
-// settledRatio is the smallest ratio of confirmed to unconfirmed VMs of a settled
-// node. Unconfirmed VMs are known from the platform's list only.
+// settledRatio is the smallest ratio of confirmed to unconfirmed VMs at which a node
+// is settled. Unconfirmed VMs are known from the platform's list only.
 const settledRatio = 8
 
 // settled reports whether almost all VMs of the list are confirmed. When a whole
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -423,9 +423,8 @@
 
 // After a pause of the process, a request arrives while the control loop handles
 // the pause: the loop has run, but has not yet published that the node must
-// refresh first. The request must be refused as well. Otherwise it runs although
-// its caller disconnected during the pause; this happened a second past the
-// request's deadline.
+// refresh first. The request must be refused as well. Such a request once ran a
+// second past its deadline, after its caller had disconnected during the pause.
 func TestRequestWhileAPauseIsHandled(t *testing.T) {
 	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		return okResponse("whole"), nil
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// hasBody reports whether the Content-Length of the response is the length of
-// the received body. It isn't for HEAD and for statuses without a body, whose
-// header may give the length of content that is not sent.
+// hasBody reports whether the response has a body, so that the length of the
+// received body is its Content-Length. Responses to HEAD and with statuses
+// without a body may give the length of content that is not sent.
 func hasBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/node/resume.go
+++ b/internal/node/resume.go
@@ -16,7 +16,8 @@
 const maxResumes = 4
 
 // resumingBody is the body of a response. If it breaks, it is resumed from
-// another target. The caller gets one complete body, or one that breaks visibly.
+// another target. The caller gets one complete body, or one that ends with an
+// error.
 type resumingBody struct {
 	ctx       context.Context
 	forwarder *forwarder
