--- a/internal/contract/check_test.go
+++ b/internal/contract/check_test.go
@@ -101,10 +101,9 @@
 }
 
 // The operator's files and a node's parts hold the same contracts in different
-// orders. A floating-point sum of shares that add up to 1, such as ten shares of
-// 0.1, comes out slightly above or below 1 depending on the order, so the
-// operator's check could accept a version that every node then rejects. The result
-// must not depend on the order.
+// orders. A floating-point sum of shares that add up to 1 comes out slightly above
+// or below 1 depending on the order, so the operator's check could accept a version
+// that every node then rejects. The result must not depend on the order.
 func TestCheckResultDoesNotDependOnOrder(t *testing.T) {
 	shares := []float64{0.1, 0.2, 0.3, 0.05, 0.15, 0.07, 0.03, 0.0999999995, 0.0000000005}
 	for shift := range shares {
