--- a/internal/routing/retry/fleet_test.go
+++ b/internal/routing/retry/fleet_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet simulates services whose targets shed load, on virtual time. Each node has a
+// fleet simulates services whose targets shed load, in virtual time. Each node has a
 // budget, which it uses as entry node of requests and as owner node of its target.
 type fleet struct {
 	random   *rand.Rand
--- a/internal/routing/retry/window.go
+++ b/internal/routing/retry/window.go
@@ -23,8 +23,8 @@
 type bucket struct {
 	index    int64
 	requests int
-	// retries counts retries, and calls with the probability that a retried run
-	// made them.
+	// retries is the number of retries plus, for each call, the probability that a
+	// retried run made it.
 	retries float64
 }
 
--- a/internal/routing/stats.go
+++ b/internal/routing/stats.go
@@ -35,7 +35,7 @@
 )
 
 // backOffTime is the time without requests for a target that has reported that it
-// accepts no new work. After that time membership has received its new state.
+// accepts no new work. By the end of it, membership has received the new state.
 const backOffTime = 2 * time.Second
 
 // Stats holds a node's own observations of one target. It is not safe for
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -14,7 +14,7 @@
 // target. Each target is still in the subsets of many nodes.
 const SubsetSize = 8
 
-// Groups groups a service's targets by distance and reduces each group to the
+// Groups divides a service's targets by distance and reduces each group to the
 // node's subset. Rendezvous hashing of node and target keeps the subset stable
 // when targets join or leave: a departed target is replaced by one other, and no
 // other connection is closed.
