--- a/internal/port/message.go
+++ b/internal/port/message.go
@@ -24,7 +24,8 @@
 	TypeBusy
 )
 
-// Heartbeat contains the sender's own record and those of a few other VMs.
+// Heartbeat contains the sender's own record, those of a few other VMs, and the
+// version applied at the sender.
 type Heartbeat struct {
 	From    membership.Record   `cbor:"f"`
 	Others  []membership.Record `cbor:"o,omitempty"`
