--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
 // Package explain explains how a contract applies to a request: its limits, share
 // and targets with the line of the contract that each comes from, and the
-// conditions on which the request would be refused. The package does no I/O.
+// conditions under which the request would be refused. The package is pure.
 package explain
 
 import (
@@ -29,7 +29,7 @@
 	FailureDomain string
 }
 
-// Explanation is the result.
+// Explanation is the result of Explain.
 type Explanation struct {
 	Customer string   `json:"customer,omitempty"`
 	Location string   `json:"place,omitempty"`
@@ -66,7 +66,7 @@
 	Share     LocatedValue `json:"share"`
 	Limit     LocatedValue `json:"limit"`
 	LongLimit LocatedValue `json:"long_limit"`
-	// Reach has the failure domains in the order in which they are tried.
+	// Reach lists the failure domains in the order in which they are tried.
 	Reach      []Domain    `json:"reach"`
 	Conditions []Condition `json:"conditions"`
 }
@@ -82,7 +82,7 @@
 	// InReach is false if the route's spill setting excludes the domain.
 	InReach  bool   `json:"in_reach"`
 	Location string `json:"place,omitempty"`
-	// Live has the live targets in a node's view; nil if Input has no members.
+	// Live lists the live targets in a node's view; nil if Input has no members.
 	Live []string `json:"live,omitempty"`
 }
 
@@ -113,7 +113,7 @@
 	return regions
 }
 
-// Explain explains the query.
+// Explain returns the explanation of the request that the query identifies.
 func Explain(input Input, query Query) Explanation {
 	e := &explainer{Input: input, query: query}
 	index := e.contractIndex()
--- a/internal/explain/reason.go
+++ b/internal/explain/reason.go
@@ -59,7 +59,7 @@
 	return reasons
 }
 
-// loadConditions returns the refusals that depend on the current load.
+// loadConditions returns the refusals that depend on the current load or state.
 func loadConditions(route Route) []Condition {
 	return []Condition{
 		{port.ReasonLimit, "the customer holds its limit at the target: " + route.Limit.Value, route.Limit.Location},
