--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -1,5 +1,5 @@
-// Command standin-platform runs a fake of the platform, for tests and the demo
-// only.
+// Command standin-platform runs the stand-in for the platform, for tests and
+// the demo only.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	var listen string
 	command := &cobra.Command{
 		Use:   "standin-platform --listen IP:PORT",
-		Short: "Run a fake of the platform's configuration service and VM list",
+		Short: "Run a stand-in for the platform's configuration service and VM list",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			server := &http.Server{Addr: listen, Handler: platform.New().Handler(), ReadHeaderTimeout: readHeaderTimeout}
--- a/cmd/standin-target/main.go
+++ b/cmd/standin-target/main.go
@@ -1,4 +1,5 @@
-// Command standin-target runs a fake target, for tests and the demo only.
+// Command standin-target runs the stand-in for a target, for tests and the
+// demo only.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	var mode target.Mode
 	command := &cobra.Command{
 		Use:   "standin-target --listen IP:PORT",
-		Short: "Run a fake target with slots and an execution ledger",
+		Short: "Run a stand-in for a target with slots and an execution ledger",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			upstream := target.New(slots, mode)
--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -36,7 +36,8 @@
 	// than the usual pause of a caller between two requests, and short compared
 	// with the time allowed for a planned stop.
 	linger = time.Second
-	// idleGrace is how long idle caller connections are left open after that.
+	// idleGrace is how long idle caller connections are left open after the
+	// callers' listener is closed.
 	idleGrace         = 3 * time.Second
 	closeTimeout      = 5 * time.Second
 	readHeaderTimeout = 10 * time.Second
@@ -220,7 +221,7 @@
 	}
 	d.awaitIdleCallers()
 	if err := d.callers.CloseIdle(); err != nil {
-		d.log.Warn().Err(err).Msg("close idle caller connections")
+		d.log.Warn().Err(err).Msg("idle caller connections closed without a response")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -54,8 +54,8 @@
 	maxBodyBytes   = 1 << 30
 )
 
-// sidecarGCPercent keeps the heap small: the platform charges for peak memory, and
-// the live heap is only a few megabytes. It is in percent, as GOGC.
+// sidecarGCPercent keeps the heap small: peak memory is paid for, and the live heap
+// is only a few megabytes. It is in percent, as GOGC.
 const sidecarGCPercent = 60
 
 func newSidecarCommand() *cobra.Command {
@@ -113,7 +113,8 @@
 	peers    *exchange.Pool
 	target   *exchange.Pool
 	callers  *callerhttp.Server
-	// crashes records the requests that crashed targets.
+	// crashes holds what this node knows of requests that crash targets, by itself
+	// and from other nodes.
 	crashes    *quarantine.SharedLedger
 	peerServer *http.Server
 	meter      *metrics.Meter
--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -20,8 +20,8 @@
 	// settingsPollInterval is how often the settings file is checked: it may change
 	// without a signal.
 	settingsPollInterval = 500 * time.Millisecond
-	// proxyTickInterval is how often waiting requests are started for which capacity
-	// became free by the passing of time alone, without a request ending.
+	// proxyTickInterval is how often the proxy starts waiting requests that can run
+	// because time has passed, without another request having ended.
 	proxyTickInterval = 100 * time.Millisecond
 	// housekeepInterval is how often idle connections are closed and gauges are set.
 	housekeepInterval = time.Second
@@ -93,7 +93,7 @@
 	limits := c.proxy.Limits()
 	closed, err := c.callers.CloseTimedOut(now, callerhttp.Timeouts{Header: limits.HeaderTimeout, Idle: limits.IdleTimeout})
 	if err != nil {
-		c.log.Warn().Err(err).Msg("close slow caller connections")
+		c.log.Warn().Err(err).Msg("slow caller connections stay open")
 	}
 	c.meter.Count(port.MetricSlowConnections, "", closed)
 }
--- a/cmd/tamarackd/sidecar_stop.go
+++ b/cmd/tamarackd/sidecar_stop.go
@@ -37,7 +37,7 @@
 	for c.proxy.InFlight() > 0 && wait.Sleep(ctx, drainPollInterval) {
 	}
 	if err := c.callers.CloseIdle(); err != nil {
-		c.log.Warn().Err(err).Msg("close idle caller connections")
+		c.log.Warn().Err(err).Msg("idle caller connections closed without a response")
 	}
 	for _, server := range []*http.Server{c.callers.Server, c.peerServer} {
 		if err := server.Shutdown(ctx); err != nil {
