--- a/internal/adapter/callerhttp/idle.go
+++ b/internal/adapter/callerhttp/idle.go
@@ -199,7 +199,7 @@
 const finalResponseTimeout = 100 * time.Millisecond
 
 // errClosing is the error of a read from a connection that is being closed.
-var errClosing = errors.New("the connection is being closed")
+var errClosing = errors.New("the node is stopping")
 
 // conn is a caller's connection that can be closed gracefully while it is idle.
 type conn struct {
--- a/internal/adapter/platformhttp/platformhttp.go
+++ b/internal/adapter/platformhttp/platformhttp.go
@@ -128,7 +128,7 @@
 	case http.StatusNotFound:
 		return port.Value{}, port.ErrNotFound
 	default:
-		return port.Value{}, errors.Wrapf(port.ErrUnreachable, "platform responded with status %d", response.StatusCode)
+		return port.Value{}, errors.Wrapf(port.ErrUnreachable, "platform answered %d", response.StatusCode)
 	}
 	return readValue(response, maxBytes)
 }
@@ -138,10 +138,10 @@
 func readValue(response *http.Response, maxBytes int64) (port.Value, error) {
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxBytes+1))
 	if err != nil {
-		return port.Value{}, errors.Wrap(port.ErrUnreachable, "platform response is incomplete: "+err.Error())
+		return port.Value{}, errors.Wrap(port.ErrUnreachable, "platform answer was cut short: "+err.Error())
 	}
 	if int64(len(content)) > maxBytes {
-		return port.Value{}, errors.Errorf("platform value is larger than %d bytes", maxBytes)
+		return port.Value{}, errors.Errorf("platform value is over %d bytes", maxBytes)
 	}
 	revision, _ := strconv.ParseUint(response.Header.Get(revisionHeader), 10, 64)
 	return port.Value{Revision: revision, Content: content}, nil
