--- a/internal/adapter/auditlog/auditlog_test.go
+++ b/internal/adapter/auditlog/auditlog_test.go
@@ -17,7 +17,7 @@
 // Guards against log lines with a repeated JSON key. A version was rejected with two findings,
 // which were written under the same key. Readers of the log stream keep only one of two
 // equal keys, so the first finding was lost; the log stream is all that is left of the trail
-// after the VM is replaced.
+// after the VM is removed.
 func TestLogLineContainsEveryFinding(t *testing.T) {
 	var out bytes.Buffer
 	trail := New(&log.Logger{Writer: &log.IOWriter{Writer: &out}})
--- a/internal/adapter/callhttp/outcome.go
+++ b/internal/adapter/callhttp/outcome.go
@@ -105,7 +105,8 @@
 func writeOutcome(w http.ResponseWriter, status int, outcome Outcome) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The error is ignored: it means that the caller has disconnected.
+	// The error is ignored: if the caller has disconnected, there is nobody else to
+	// report it to.
 	_ = json.NewEncoder(w).Encode(outcome)
 }
 
--- a/internal/adapter/exchange/exchange.go
+++ b/internal/adapter/exchange/exchange.go
@@ -138,8 +138,8 @@
 	return r.Body != nil && (r.ContentLength < 0 || r.ContentLength > smallBodyBytes)
 }
 
-// write writes the request. An empty User-Agent is set if there is none, because net/http
-// would otherwise add its own.
+// write writes the request with the caller's headers as they are. An empty User-Agent is
+// set if there is none, because net/http would otherwise add its own.
 func (c *conn) write(r *Request) error {
 	request := &http.Request{
 		Method: r.Method, URL: rawURL(r.URI), Host: r.Host, Header: r.Header,
@@ -251,7 +251,7 @@
 	b.conn.close(!complete || !reusable)
 }
 
-// writeTracker records when the first byte of a request is written.
+// writeTracker records that the first byte of a request is written.
 type writeTracker struct {
 	net.Conn
 	conn *conn
--- a/internal/adapter/exchange/pool.go
+++ b/internal/adapter/exchange/pool.go
@@ -135,12 +135,12 @@
 func (p *Pool) take(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.idle[address] = kept[:len(kept)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
@@ -150,10 +150,10 @@
 	}
 	c.idleUntil = time.Now().Add(idle)
 	p.mu.Lock()
-	kept := p.idle[c.address]
-	full := len(kept) >= p.options.MaxIdle
+	conns := p.idle[c.address]
+	full := len(conns) >= p.options.MaxIdle
 	if !full {
-		p.idle[c.address] = append(kept, c)
+		p.idle[c.address] = append(conns, c)
 	}
 	p.mu.Unlock()
 	if full {
@@ -166,9 +166,9 @@
 func (p *Pool) CloseIdle(now time.Time) {
 	p.mu.Lock()
 	var expired []*conn
-	for address, kept := range p.idle {
-		live := kept[:0]
-		for _, c := range kept {
+	for address, conns := range p.idle {
+		live := conns[:0]
+		for _, c := range conns {
 			if now.Before(c.idleUntil) {
 				live = append(live, c)
 			} else {
@@ -190,10 +190,10 @@
 // runs.
 func (p *Pool) CloseAddress(address string) {
 	p.mu.Lock()
-	kept := p.idle[address]
+	conns := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, c := range kept {
+	for _, c := range conns {
 		c.close(false)
 	}
 }
--- a/internal/adapter/feedws/feedws.go
+++ b/internal/adapter/feedws/feedws.go
@@ -51,7 +51,7 @@
 // lacks to send, starting from the checkpoint held by the follower, until ctx ends or send
 // fails. Host is the follower's host.
 type Source interface {
-	Serve(ctx context.Context, host string, held mesh.Checkpoint, send func(*mesh.Update) error) error
+	Serve(ctx context.Context, host string, checkpoint mesh.Checkpoint, send func(*mesh.Update) error) error
 }
 
 // NewHandler returns a handler that serves the source's updates to followers and exchanges
@@ -59,7 +59,7 @@
 func NewHandler(source Source, notices follow.Notices, countSent func(bytes int)) http.Handler {
 	encoder := &encoder{}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		held, err := decodeCheckpoint(r.URL.Query())
+		checkpoint, err := decodeCheckpoint(r.URL.Query())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -79,7 +79,7 @@
 			receiveNotices(ctx, conn, notices, feed)
 		}()
 		go sendNotices(ctx, conn, notices, feed, countSent)
-		err = source.Serve(ctx, follow.HostOf(r.RemoteAddr), held, func(update *mesh.Update) error {
+		err = source.Serve(ctx, follow.HostOf(r.RemoteAddr), checkpoint, func(update *mesh.Update) error {
 			raw, err := encoder.encode(update)
 			if err != nil {
 				return err
@@ -125,10 +125,10 @@
 	})
 }
 
-func encodeCheckpoint(held mesh.Checkpoint) url.Values {
+func encodeCheckpoint(checkpoint mesh.Checkpoint) url.Values {
 	return url.Values{
-		paramVersion:  {strconv.FormatUint(held.Version, 10)},
-		paramRevision: {strconv.FormatUint(held.Revision, 10)},
+		paramVersion:  {strconv.FormatUint(checkpoint.Version, 10)},
+		paramRevision: {strconv.FormatUint(checkpoint.Revision, 10)},
 	}
 }
 
@@ -163,8 +163,8 @@
 }
 
 // Follow implements follow.Feed.
-func (c *Client) Follow(ctx context.Context, address string, held mesh.Checkpoint, take func(*mesh.Update) error) error {
-	conn, err := c.open(ctx, address, held)
+func (c *Client) Follow(ctx context.Context, address string, checkpoint mesh.Checkpoint, apply func(*mesh.Update) error) error {
+	conn, err := c.open(ctx, address, checkpoint)
 	if err != nil {
 		return err
 	}
@@ -183,16 +183,16 @@
 			c.notices.Merge(feed, notice)
 			continue
 		}
-		if err := take(update); err != nil {
+		if err := apply(update); err != nil {
 			return err
 		}
 	}
 }
 
-func (c *Client) open(ctx context.Context, address string, held mesh.Checkpoint) (*websocket.Conn, error) {
+func (c *Client) open(ctx context.Context, address string, checkpoint mesh.Checkpoint) (*websocket.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
-	address = "ws://" + address + Path + "?" + encodeCheckpoint(held).Encode()
+	address = "ws://" + address + Path + "?" + encodeCheckpoint(checkpoint).Encode()
 	conn, _, err := websocket.Dial(ctx, address, &websocket.DialOptions{HTTPClient: c.http})
 	return conn, errors.Wrap(err, "open feed")
 }
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -32,7 +32,8 @@
 const withoutMembers = "none"
 
 // PathBriefStatus is the path of the status without the list of members. In a fleet of
-// 1,600 nodes, the lists of all nodes together would be most of a gigabyte.
+// 1,600 nodes, each list has 1,600 members, and the lists of all nodes together would be
+// most of a gigabyte.
 const PathBriefStatus = PathStatus + "?members=" + withoutMembers
 
 // Node provides the status of the node.
--- a/internal/adapter/peerforward/terms.go
+++ b/internal/adapter/peerforward/terms.go
@@ -117,6 +117,6 @@
 // response. If the owner timed out exactly at the deadline, its refusal would reach the
 // entry node only after the entry node's own timeout, and the outcome of a request that
 // never left the owner's queue would be unknown.
-func ownerBudget(left time.Duration) time.Duration {
-	return left - min(left/replyDivisor, maxReplyTime)
+func ownerBudget(timeLeft time.Duration) time.Duration {
+	return timeLeft - min(timeLeft/replyDivisor, maxReplyTime)
 }
