--- a/internal/requestbody/requestbody.go
+++ b/internal/requestbody/requestbody.go
@@ -18,7 +18,7 @@
 const headBytes = 4 << 10
 
 // ErrRevoked is returned to an attempt that reads the body after the attempt has ended.
-var ErrRevoked = errors.New("the attempt that reads this body has ended")
+var ErrRevoked = errors.New("the attempt that read this body is over")
 
 // Body provides a caller's body to successive attempts. Small bodies are buffered
 // completely. A large body can be passed to another attempt only while none of it has
@@ -47,7 +47,7 @@
 	}
 	head, err := io.ReadAll(io.LimitReader(body, ahead))
 	if err != nil {
-		return nil, 0, errors.Wrap(err, "read body")
+		return nil, 0, errors.Wrap(err, "body")
 	}
 	if length > MaxBufferedBytes || len(head) > MaxBufferedBytes {
 		return &Body{stream: io.MultiReader(bytes.NewReader(head), body), head: head}, length, nil
@@ -67,9 +67,10 @@
 	return b.head[:min(len(b.head), headBytes)]
 }
 
-// Reader returns the body for the next attempt and revokes the reader of the previous
-// one; nil if there is no body. If a large body was read in part, the new reader returns
-// an error instead of the rest, which the target would take for the whole body.
+// Reader returns the body for the next attempt, or nil if there is no body. If a large
+// body hasn't been read, the reader of the previous attempt is revoked. If it was read in
+// part, the new reader returns an error instead of the rest, which the target would take
+// for the whole body.
 func (b *Body) Reader() io.Reader {
 	if b.stream == nil {
 		if len(b.buffered) == 0 {
@@ -86,8 +87,8 @@
 	return next
 }
 
-// Rewind reports whether another attempt can read the whole body. After it returned true
-// for a large body, earlier attempts can't read it any more.
+// Rewind reports whether another attempt can read the whole body. If it returns true for
+// a large body, earlier attempts can't read the body any more.
 func (b *Body) Rewind() bool {
 	if b.stream == nil {
 		return true
