--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -74,9 +74,9 @@
 // maxRetryAfter bounds the retry times of refused callers.
 const maxRetryAfter = 10 * time.Second
 
-// reserveRetry returns when the link is likely to have capacity for a refused response.
-// Each refusal reserves the duration of one response. Otherwise callers that were
-// refused together would retry together and be refused again.
+// reserveRetry returns the time until the link is likely to have capacity for a refused
+// response. Each refusal reserves the duration of one response. Otherwise callers that
+// were refused together would retry together and be refused again.
 func (p *Pacer) reserveRetry(now time.Time, earliest, duration time.Duration) time.Duration {
 	if first := now.Add(earliest); p.lastRetryAt.Before(first) {
 		p.lastRetryAt = first
