--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -97,7 +97,8 @@
 	LongLimit float64
 }
 
-// Terms are the slots and shares that the contracts define for the target's service.
+// Terms holds the number of slots of the target, and what the contracts grant of its
+// service.
 type Terms struct {
 	Slots  int
 	Shares map[string]Share
--- a/internal/admission/cycle.go
+++ b/internal/admission/cycle.go
@@ -17,7 +17,7 @@
 const (
 	// revisitWindow is how long a level counts after its most recent call.
 	revisitWindow = 10 * time.Second
-	// At most slots/reservedDivisor slots are reserved for inner calls.
+	// reservedDivisor limits the slots reserved for inner calls to slots/reservedDivisor.
 	reservedDivisor = 2
 )
 
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -12,7 +12,8 @@
 	terms Terms
 	// slots is how many requests may run now: the configured number, or fewer after the
 	// target has shed.
-	slots         int
+	slots int
+	// recoverySince is the time of the last shed or restored slot.
 	recoverySince time.Time
 
 	customers map[string]*customer
