--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -121,7 +121,7 @@
 }
 
 // maxCallerTimeout is the longest timeout accepted from callers. A much larger number
-// would overflow time.Duration, and the caller would be treated as disconnected.
+// would overflow time.Duration, and the caller would count as no longer waiting.
 const maxCallerTimeout = 24 * time.Hour
 
 func (p *Proxy) pickService(snapshot *Snapshot, route *mesh.Route) string {
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -41,7 +41,8 @@
 	length int64
 	// fingerprint is the same for all attempts and for equal requests of other callers.
 	fingerprint quarantine.Fingerprint
-	// crashCount is the number of target crashes during which the request was running.
+	// crashCount is the number of unexplained target crashes during which the request was
+	// running, as of its arrival at this node.
 	crashCount int
 
 	// tried holds the ids of the targets that got an attempt.
@@ -167,7 +168,7 @@
 	return bufferResponse(response)
 }
 
-var errUnsigned = errors.New("successful response without the signature of a target")
+var errUnsigned = errors.New("a success that no target vouches for")
 
 func (f *forwarder) newRequest(member *mesh.Member) *exchange.Request {
 	header := f.header.Clone()
@@ -210,7 +211,7 @@
 	}
 	if response.Header.Get(p.config.Headers.RequestID) != r.ID {
 		_ = response.Body.Close()
-		return nil, report, &port.UnknownOutcome{Stage: "answer", Cause: errors.New("the response belongs to another request")}
+		return nil, report, &port.UnknownOutcome{Stage: "answer", Cause: errors.New("the answer is another request's")}
 	}
 	return response, report, nil
 }
@@ -277,7 +278,8 @@
 	}
 }
 
-// recordError keeps the error if it determines the result of the whole request.
+// recordError keeps an error of an attempt for the result of the request: a refusal by
+// recordRefusal, any other as unknown.
 func (f *forwarder) recordError(err error) {
 	var refusal *port.Refusal
 	if errors.As(err, &refusal) {
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -22,9 +22,9 @@
 // requests are ordered by rank alone.
 const meshCustomer = "mesh"
 
-// queuePerSlot limits the queue of a target, per slot. Waits are limited by time as well:
-// behind a queue of this length, a request waits about four times the work of one
-// request, and hardly any response is in time.
+// queuePerSlot limits the queue of a target, per slot. Waits are limited by time as well.
+// A queue of this length takes about four times the work of one request, and hardly any
+// request behind it is answered in time.
 const queuePerSlot = 4
 
 // admissionTerms returns the admission terms of the local target.
@@ -47,7 +47,7 @@
 )
 
 // runLocal runs a request on the local target. The error is a *port.Refusal if the target
-// did not run it, and a *port.Unknown otherwise.
+// did not run it, and a *port.UnknownOutcome otherwise.
 func (p *Proxy) runLocal(ctx context.Context, meta *attemptMeta, r *exchange.Request, received time.Time) (*exchange.Response, loadReport, error) {
 	p.inFlight.Add(1)
 	response, report, err := p.admit(ctx, meta, r, received)
@@ -106,8 +106,9 @@
 }
 
 // checkRunnable returns a refusal if the request must not be sent to the local target, or
-// nil. If the entry node expects another target and has a newer revision of its entry, it
-// may be right; the request is sent, and the target itself checks the expected id.
+// nil. If the entry node expects another target and its revision isn't older than this
+// node's, it may be right; the request is sent, and the target itself checks the expected
+// id.
 func (p *Proxy) checkRunnable(meta *attemptMeta, r *exchange.Request) *port.Refusal {
 	if p.localStopped.Load() || p.stopping.Load() && p.ports.Clock.Now().Add(meta.budget).After(*p.stopDeadline.Load()) {
 		return port.Refuse(port.ReasonStopping, retryStopping, "the target's node is stopping")
@@ -160,8 +161,8 @@
 	return response, nil
 }
 
-// classifyError returns a refusal if no part of the request was sent, and a *port.Unknown
-// otherwise.
+// classifyError returns a refusal if no part of the request was sent, and a
+// *port.UnknownOutcome otherwise.
 func (p *Proxy) classifyError(err error) error {
 	var failure *exchange.Failure
 	if errors.As(err, &failure) && !failure.Sent {
@@ -209,8 +210,8 @@
 // maxDiscarded is how many bytes of an unused body are read to keep its connection.
 const maxDiscarded = 16 << 10
 
-// discard reads the rest of a small body, so that its connection can be reused. It closes
-// larger bodies unread.
+// discard reads the rest of a small body, so that its connection can be reused. Of a
+// larger body, it reads only maxDiscarded bytes, and closes it.
 func (p *Proxy) discard(body io.ReadCloser) {
 	// On a read error, the connection is broken and not reused.
 	_, _ = io.CopyN(io.Discard, body, maxDiscarded)
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -23,9 +23,9 @@
 	return port.Refuse(port.ReasonQuarantined, left, "targets crashed under this request; it is kept from others")
 }
 
-// unsuspected reports whether the request has not been running during a target crash. A
-// suspected request isn't retried after it may have run: its caller gets the outcome, and
-// if the request causes the crashes, fewer targets crash.
+// unsuspected reports whether the request, when it arrived, was not suspected of a target
+// crash. A suspected request isn't retried after it may have run: its caller gets the
+// outcome, and if the request causes the crashes, fewer targets crash.
 func (f *forwarder) unsuspected() bool { return f.crashCount == 0 }
 
 // isolateThreshold is the number of crashes from which suspected requests run one at a
--- a/internal/proxy/reach.go
+++ b/internal/proxy/reach.go
@@ -14,9 +14,10 @@
 )
 
 // A network partition can disconnect many VMs at once while the platform still lists
-// their targets. Without the measures below, each entry node detects each unreachable
-// target only by a request that times out, and again whenever it retries the target: with
-// 39 of 86 VMs disconnected, four in five requests of the other VMs were lost for seconds.
+// their targets. Without the measures below, each entry node would detect each
+// unreachable target only by a request that times out, and again whenever it retries the
+// target. With 39 of 86 VMs disconnected, four in five requests of the other VMs were
+// lost for seconds.
 // Therefore a node that doesn't answer is excluded until a background probe succeeds.
 // Also, once one VM was found unreachable, nodes are pinged before they get a request,
 // unless they answered just before. Without failures, no pings are sent.
@@ -105,7 +106,7 @@
 // maxRoundTrip is the longest round trip that a ping allows for.
 const maxRoundTrip = 100 * time.Millisecond
 
-// Ping sends a request to the node at an address, whether it answers or not.
+// Ping sends a ping to the node at an address, and logs a failure.
 func (p *Proxy) Ping(ctx context.Context, address string) {
 	if err := p.ping(ctx, address, pingTimeout+maxRoundTrip); err != nil {
 		p.ports.Log.Debug().Str(logfield.Neighbour, address).Err(err).Msg("ping failed")
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -15,8 +15,9 @@
 // up all the time in which another target could still respond. The second target must
 // have a free slot by its last load report, and the fleet's retry budget must allow the
 // attempt. The first attempt continues in parallel: cancelling it for a target that then
-// had no free slot wasted its work and left the caller without a response. If work is
-// log-normal with a spread of 0.5, 3 in 1,000 requests take four times the mean.
+// had no free slot wasted its work and left the caller without a response. If the time
+// of the work is log-normal with a spread of 0.5, 3 in 1,000 requests take four times the
+// mean.
 const slowFactor = 4
 
 // attempt sends the request to a target, and to a second one if the first is slow, and
--- a/internal/proxy/terms.go
+++ b/internal/proxy/terms.go
@@ -32,7 +32,7 @@
 	rank int
 	// urgency orders requests of the same rank; the highest comes first.
 	urgency int
-	// budget is the time left until the caller stops waiting.
+	// budget is the time left until the deadline, after which the response is of no use.
 	budget time.Duration
 	// maxWait is the maximum time that the request may wait for a slot.
 	maxWait time.Duration
@@ -70,7 +70,7 @@
 	var meta attemptMeta
 	parts := strings.Split(text, fieldSeparator)
 	if len(parts) != metaFields {
-		return meta, errors.Errorf("got %d metadata fields, expected %d", len(parts), metaFields)
+		return meta, errors.Errorf("%d terms in place of %d", len(parts), metaFields)
 	}
 	var errs [metaFields]error
 	meta.attemptID, errs[0] = url.QueryUnescape(parts[0])
@@ -86,7 +86,7 @@
 	meta.fingerprint, errs[10] = quarantine.ParseFingerprint(parts[10])
 	for i, err := range errs {
 		if err != nil {
-			return meta, errors.Wrapf(err, "metadata field %d", i)
+			return meta, errors.Wrapf(err, "term %d", i)
 		}
 	}
 	return meta, nil
@@ -96,7 +96,7 @@
 type loadReport struct {
 	placement.Load
 	// holdTime is how long the target held this request. nodeTime is how long the owner
-	// node took in total, until the response header was sent.
+	// node took in total, until it had the response header.
 	holdTime, nodeTime time.Duration
 }
 
