--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -33,7 +33,7 @@
 func (c *sidecar) applyView(view *mesh.View) {
 	c.meter.Set(port.MetricConfigVersion, "", float64(view.Version()))
 	snapshot := c.snapshot
-	if snapshot.MembersVersion != view.MembersGeneration() {
+	if snapshot.MembersGeneration != view.MembersGeneration() {
 		snapshot = c.buildSnapshot(view)
 	}
 	snapshot.Table = view.Table()
@@ -42,7 +42,7 @@
 }
 
 func (c *sidecar) buildSnapshot(view *mesh.View) proxy.Snapshot {
-	snapshot := proxy.Snapshot{Services: view.ReadyByService(), Local: view.MemberAt(c.settings.TargetAddress), MembersVersion: view.MembersGeneration()}
+	snapshot := proxy.Snapshot{Services: view.ReadyByService(), Local: view.MemberAt(c.settings.TargetAddress), MembersGeneration: view.MembersGeneration()}
 	hosts := make(map[string]bool, len(view.Members()))
 	for _, member := range view.Members() {
 		hosts[follow.HostOf(member.Address)] = true
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -104,7 +104,7 @@
 	Nodes int
 	// MembersVersion increases with each change of the targets: two snapshots with the
 	// same number above zero have the same targets.
-	MembersVersion uint64
+	MembersGeneration uint64
 }
 
 // Proxy routes requests. It is safe for concurrent use.
@@ -182,7 +182,7 @@
 	if snapshot.Local != nil && (previous == nil || previous.Local == nil || previous.Local.Slots != snapshot.Local.Slots) {
 		p.gate.Configure(admissionTerms(snapshot.Local.Slots))
 	}
-	if previous != nil && snapshot.MembersVersion != 0 && previous.MembersVersion == snapshot.MembersVersion {
+	if previous != nil && snapshot.MembersGeneration != 0 && previous.MembersGeneration == snapshot.MembersGeneration {
 		return
 	}
 	p.mu.Lock()
