--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -124,11 +124,11 @@
 func (b *block) end() time.Time { return b.at.Add(b.duration()) }
 
 func (b *block) duration() time.Duration {
-	term := initialBlockDuration
-	for times := 1; times < b.times && term < maxBlockDuration; times++ {
-		term = min(term*blockGrowth, maxBlockDuration)
+	duration := initialBlockDuration
+	for times := 1; times < b.times && duration < maxBlockDuration; times++ {
+		duration = min(duration*blockGrowth, maxBlockDuration)
 	}
-	return term
+	return duration
 }
 
 // RecordCrash records a crash observed by this node.
