--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -13,7 +13,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	request := &placement.Request{
-		Route: *p.workFor(f.route), TimeLeft: f.dueIn(now),
+		Route: *p.routeStatsFor(f.route), TimeLeft: f.dueIn(now),
 		RequestBytes: float64(max(f.length, 0)), HalfBytes: p.config.HalfBytes,
 	}
 	if best := f.cheapest(now, request, false); best != nil || f.attempts > 0 {
@@ -88,15 +88,15 @@
 // the first downloads don't leave the failure domain either.
 const initialDownloadBytes = 100e3
 
-// workFor returns the observed work of a route. It must be called with the mutex held.
-func (p *Proxy) workFor(route *mesh.Route) *placement.RouteStats {
-	work := p.work[route.Name]
-	if work == nil {
-		work = &placement.RouteStats{}
+// routeStatsFor returns the statistics of a route. It must be called with the mutex held.
+func (p *Proxy) routeStatsFor(route *mesh.Route) *placement.RouteStats {
+	routeStats := p.routeStats[route.Name]
+	if routeStats == nil {
+		routeStats = &placement.RouteStats{}
 		if route.Kind == mesh.Download {
-			work.ResponseBytes = initialDownloadBytes
+			routeStats.ResponseBytes = initialDownloadBytes
 		}
-		p.work[route.Name] = work
+		p.routeStats[route.Name] = routeStats
 	}
-	return work
+	return routeStats
 }
--- a/internal/proxy/comeback_test.go
+++ b/internal/proxy/comeback_test.go
@@ -86,7 +86,7 @@
 	route := &mesh.Route{Name: "r", Kind: mesh.Idempotent, TargetLatency: burstLatency}
 	member := &mesh.Member{Target: mesh.Target{ID: "t", Slots: burstSlots}}
 	p.stats["t"] = &placement.Stats{Slots: burstSlots}
-	p.work["r"] = &placement.RouteStats{Hold: burstWork}
+	p.routeStats["r"] = &placement.RouteStats{Hold: burstWork}
 	f := &forwarder{proxy: p, route: route, began: now, firstAt: now, deadline: caller.deadline}
 	if recognized {
 		f.firstAt = caller.firstAt
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -232,12 +232,12 @@
 		together.Add(-1)
 		f.targets[0].respond(w, r)
 	}
-	var asked sync.WaitGroup
+	var callers sync.WaitGroup
 	for i, path := range suspects {
-		asked.Go(func() { assert.Check(t, f.send(0, "GET", path, "").Code == http.StatusOK, path) })
-		asked.Go(func() { f.send(0, "GET", fmt.Sprint("/idempotent/other", i), "") })
+		callers.Go(func() { assert.Check(t, f.send(0, "GET", path, "").Code == http.StatusOK, path) })
+		callers.Go(func() { f.send(0, "GET", fmt.Sprint("/idempotent/other", i), "") })
 	}
-	asked.Wait()
+	callers.Wait()
 	assert.Equal(t, maxTogether.Load(), int32(1))
 	assert.Equal(t, others.Load(), int32(len(suspects)))
 	for _, path := range suspects {
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -246,7 +246,7 @@
 		stats.RecordFailure(now)
 		return
 	}
-	relative := p.workFor(route).Observe(report.holdTime, stats.HoldFactor(), len(resp.body))
+	relative := p.routeStatsFor(route).Observe(report.holdTime, stats.HoldFactor(), len(resp.body))
 	stats.RecordResponse(now, relative, networkTime)
 	p.recordLoad(now, stats, report)
 }
--- a/internal/proxy/operations_test.go
+++ b/internal/proxy/operations_test.go
@@ -96,16 +96,16 @@
 func TestLinesStayWithinTheirBudget(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targets[0].serve = shedHandler("1,0,4")
-	const asked = 1000
+	const requests = 1000
 	begin := time.Now()
-	for range asked {
+	for range requests {
 		f.send(0, "GET", "/idempotent/x", "")
 	}
 	spent := time.Since(begin).Seconds() + 1
 	f.proxies[0].LogDroppedLines()
 	failures := strings.Count(f.logs.String(), `"message":"request"`)
 	assert.Assert(t, float64(failures) <= spent*float64(linesPerSecond[lineFailure])+1, "%d in %.1f s", failures, spent)
-	assert.Assert(t, failures == asked || strings.Contains(f.logs.String(), "lines left out"))
+	assert.Assert(t, failures == requests || strings.Contains(f.logs.String(), "lines left out"))
 }
 
 // A request fails at one target and is served by another. The trace of its id contains
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -51,28 +51,28 @@
 // pacedChunk is the number of bytes of a large response sent in one write.
 const pacedChunk = 8 << 10
 
-// sendPaced sends a large response when its turn comes and at the rate of the link's
-// share, so that small responses are not delayed behind it.
+// sendPaced sends a large response once the queue of transfers lets it start, at the rate
+// of the link's pacer, so that small responses are not delayed behind it.
 func (p *Proxy) sendPaced(ctx context.Context, w http.ResponseWriter, resp *bufferedResponse, due time.Time) error {
-	turn := &link.Transfer{Deadline: due}
-	if err := p.awaitTurn(ctx, turn); err != nil {
+	transfer := &link.Transfer{Deadline: due}
+	if err := p.awaitTransfer(ctx, transfer); err != nil {
 		return err
 	}
-	defer p.endTurn()
+	defer p.endTransfer()
 	writeHeader(w, resp.response)
 	return copyBody(&pacedWriter{proxy: p, to: w}, resp)
 }
 
-// awaitTurn waits until the response may be sent. If it returns nil, endTurn must be
-// called once.
-func (p *Proxy) awaitTurn(ctx context.Context, turn *link.Transfer) error {
+// awaitTransfer waits until the response may be sent. If it returns nil, endTransfer must
+// be called once.
+func (p *Proxy) awaitTransfer(ctx context.Context, transfer *link.Transfer) error {
 	p.mu.Lock()
-	if p.turns.Start(turn) {
+	if p.transfers.Start(transfer) {
 		p.mu.Unlock()
 		return nil
 	}
 	ready := make(chan struct{})
-	p.turnReady[turn] = ready
+	p.transferReady[transfer] = ready
 	p.mu.Unlock()
 	select {
 	case <-ready:
@@ -80,31 +80,31 @@
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	cancelled := p.turns.Cancel(turn)
-	delete(p.turnReady, turn)
+	cancelled := p.transfers.Cancel(transfer)
+	delete(p.transferReady, transfer)
 	p.mu.Unlock()
 	if !cancelled {
-		// The turn came at the same time as the other node disconnected.
-		p.endTurn()
+		// The response could be sent at the same time as the other node disconnected.
+		p.endTransfer()
 	}
 	return ctx.Err()
 }
 
-// endTurn ends the sending of a large response and lets the next one start.
-func (p *Proxy) endTurn() {
+// endTransfer ends the sending of a large response and lets the next one start.
+func (p *Proxy) endTransfer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := p.turns.Finish()
+	next := p.transfers.Finish()
 	if next == nil {
 		return
 	}
-	if ready := p.turnReady[next]; ready != nil {
+	if ready := p.transferReady[next]; ready != nil {
 		close(ready)
-		delete(p.turnReady, next)
+		delete(p.transferReady, next)
 	}
 }
 
-// pacedWriter writes at the rate of the link's share.
+// pacedWriter writes at the rate of the link's pacer.
 type pacedWriter struct {
 	proxy *Proxy
 	to    io.Writer
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -102,7 +102,7 @@
 	Local *mesh.Member
 	// Nodes is the number of VMs in the mesh.
 	Nodes int
-	// MembersVersion increases with each change of the targets: two snapshots with the
+	// MembersGeneration increases with each change of the targets: two snapshots with the
 	// same number above zero have the same targets.
 	MembersGeneration uint64
 }
@@ -136,18 +136,18 @@
 	stats map[string]*placement.Stats
 	// candidates holds the usable targets by service.
 	candidates map[string]*candidates
-	// work holds the observed work of routes, by name.
-	work          map[string]*placement.RouteStats
+	// routeStats holds the statistics of routes, by name.
+	routeStats    map[string]*placement.RouteStats
 	retries       *retry.FleetBudget
 	localRuns     localRuns
 	callerRetries *clientretry.Tracker
 	localStats    localStats
 	reachability  reachability
 	link          *link.Pacer
-	// turns schedules large responses to other nodes. turnReady holds a channel for each
-	// waiting response, closed when it may be sent.
-	turns     link.TransferQueue
-	turnReady map[*link.Transfer]chan struct{}
+	// transfers schedules large responses to other nodes. transferReady holds a channel
+	// for each waiting response, closed when it may be sent.
+	transfers     link.TransferQueue
+	transferReady map[*link.Transfer]chan struct{}
 }
 
 // New returns a proxy without a snapshot; it refuses all requests until SetSnapshot.
@@ -156,7 +156,7 @@
 		config: config, ports: ports, requestLog: newRequestLog(ports), gate: gate.New(ports.Clock, config.Seed),
 		random:        rand.New(rand.NewPCG(config.Seed, 1)),
 		stats:         map[string]*placement.Stats{},
-		work:          map[string]*placement.RouteStats{},
+		routeStats:    map[string]*placement.RouteStats{},
 		retries:       retry.NewFleetBudget(config.RetryWindow),
 		localRuns:     localRuns{running: map[string]localRun{}},
 		crashes:       ports.Crashes,
@@ -164,7 +164,7 @@
 		callerRetries: clientretry.NewTracker(),
 		reachability:  newReachability(),
 		link:          link.NewPacer(config.LinkRate),
-		turnReady:     map[*link.Transfer]chan struct{}{},
+		transferReady: map[*link.Transfer]chan struct{}{},
 	}
 	if p.crashes == nil {
 		p.crashes = quarantine.NewSharedLedger(ports.Clock)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -205,11 +205,11 @@
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}
-	const asked = 40
-	for range asked {
+	const requests = 40
+	for range requests {
 		assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Code, http.StatusInternalServerError)
 	}
-	assert.Assert(t, f.totalArrivals() <= asked+asked/5+2, "%d", f.totalArrivals())
+	assert.Assert(t, f.totalArrivals() <= requests+requests/5+2, "%d", f.totalArrivals())
 }
 
 // All targets are full. A retry of a caller that can't be in time any more is refused
--- a/internal/proxy/rank.go
+++ b/internal/proxy/rank.go
@@ -52,15 +52,15 @@
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	work := p.workFor(f.route)
-	usual := work.Hold
+	routeStats := p.routeStatsFor(f.route)
+	usual := routeStats.Hold
 	if usual == 0 {
 		usual = f.route.TargetLatency / unknownWorkDivisor
 	}
 	if stats := p.stats[member.ID]; stats != nil {
-		return max(usual, stats.Hold(now, usual)), int(work.ResponseBytes)
+		return max(usual, stats.Hold(now, usual)), int(routeStats.ResponseBytes)
 	}
-	return usual, int(work.ResponseBytes)
+	return usual, int(routeStats.ResponseBytes)
 }
 
 // newMeta returns the metadata of an attempt for the target's owner node. The first
--- a/internal/proxy/rank_test.go
+++ b/internal/proxy/rank_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	p.stats["t"] = stats
-	p.work["r"] = &placement.RouteStats{Hold: usual}
+	p.routeStats["r"] = &placement.RouteStats{Hold: usual}
 	return &forwarder{proxy: p, route: route, began: now, firstAt: now, deadline: now.Add(2 * time.Second)}, member
 }
 
--- a/internal/proxy/reach_test.go
+++ b/internal/proxy/reach_test.go
@@ -34,8 +34,8 @@
 	f.makeUnreachable(t, 1)
 	p := f.proxies[0]
 	p.stats["t0"].RecordFailure(time.Now())
-	const asked = 10
-	for range asked {
+	const requests = 10
+	for range requests {
 		assert.Equal(t, f.send(0, "GET", "/idempotent/x", "").Body.String(), "t0 ran /idempotent/x ")
 	}
 	p.mu.Lock()
@@ -91,13 +91,13 @@
 		<-release
 		f.targets[0].respond(w, r)
 	}
-	var asked sync.WaitGroup
-	ask := func(path string) { asked.Go(func() { f.send(0, "GET", path, "") }) }
+	var callers sync.WaitGroup
+	send := func(path string) { callers.Go(func() { f.send(0, "GET", path, "") }) }
 	for range testSlots + 2 {
-		ask("/idempotent/x")
+		send("/idempotent/x")
 	}
 	time.Sleep(30 * time.Millisecond)
-	ask("/call/x")
+	send("/call/x")
 	time.Sleep(10 * time.Millisecond)
 	release <- struct{}{}
 	time.Sleep(10 * time.Millisecond)
@@ -105,5 +105,5 @@
 	assert.Equal(t, order[testSlots], "/call/x")
 	mu.Unlock()
 	close(release)
-	asked.Wait()
+	callers.Wait()
 }
--- a/internal/proxy/repeat.go
+++ b/internal/proxy/repeat.go
@@ -16,15 +16,15 @@
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.retries.AllowRetry(now, f.service, p.retryTerms(f.snapshot)) {
+	if !p.retries.AllowRetry(now, f.service, p.retryLimits(f.snapshot)) {
 		return false
 	}
 	p.ports.Meter.Count(port.MetricRetries, f.route.Name, 1)
 	return true
 }
 
-// retryTerms returns this node's part of the fleet's retry budget.
-func (p *Proxy) retryTerms(snapshot *Snapshot) retry.Limits {
+// retryLimits returns this node's part of the fleet's retry budget.
+func (p *Proxy) retryLimits(snapshot *Snapshot) retry.Limits {
 	nodes := 1
 	if snapshot != nil {
 		nodes = max(snapshot.Nodes, 1)
@@ -53,7 +53,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	run := retry.Run{Route: meta.route, RetryProbability: meta.retryProbability, Deadline: deadline}
-	if p.retries.BeginRun(now, meta.attemptID, run, p.retryTerms(p.snapshot.Load())) {
+	if p.retries.BeginRun(now, meta.attemptID, run, p.retryLimits(p.snapshot.Load())) {
 		return nil
 	}
 	return port.Refuse(port.ReasonBusy, retryAfterBudget, "the budget of repeats has no room for the calls of one more")
--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/repeat_test.go
@@ -40,7 +40,7 @@
 // count as retries of the inner service, in addition to its own: together they must stay
 // within the budget given by its requests.
 func TestRepeatsLeaveRoomForCallsOfRepeatedRuns(t *testing.T) {
-	const asked = 400
+	const requests = 400
 	f := newFleet(t, 2)
 	outer := &arrivalCounter{prefix: "/outer/", byRequest: map[string]int{}}
 	inner := &arrivalCounter{prefix: "/inner/", byRequest: map[string]int{}}
@@ -66,14 +66,14 @@
 		}
 		f.addRoutes(i, outer.prefix, inner.prefix)
 	}
-	for i := range asked {
+	for i := range requests {
 		f.send(i%2, "GET", "/outer/x", "")
 		f.send(i%2, "GET", "/inner/x", "")
 	}
 	t.Logf("inner: %d retries, %d calls of %d retried runs; outer: %d", inner.retries, calls, outer.retries, outer.retries)
-	assert.Assert(t, inner.retries+calls <= (asked+calls)/5, "%d retries and %d calls of retried runs", inner.retries, calls)
-	assert.Assert(t, inner.retries+calls >= asked/8, "%d retries and %d calls of retried runs", inner.retries, calls)
-	assert.Assert(t, outer.retries <= asked/5, "%d", outer.retries)
+	assert.Assert(t, inner.retries+calls <= (requests+calls)/5, "%d retries and %d calls of retried runs", inner.retries, calls)
+	assert.Assert(t, inner.retries+calls >= requests/8, "%d retries and %d calls of retried runs", inner.retries, calls)
+	assert.Assert(t, outer.retries <= requests/5, "%d", outer.retries)
 }
 
 // addRoutes adds, for each prefix, a route to a service of the same name that runs at all
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -57,7 +57,7 @@
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	expected := stats.ExpectedLatency(now, &placement.Request{Route: *p.workFor(f.route)}, slowFactor)
+	expected := stats.ExpectedLatency(now, &placement.Request{Route: *p.routeStatsFor(f.route)}, slowFactor)
 	return max(expected, f.route.TargetLatency)
 }
 
--- a/internal/proxy/terms.go
+++ b/internal/proxy/terms.go
@@ -53,13 +53,13 @@
 	retryable bool
 }
 
-func (t *attemptMeta) encode() string {
+func (m *attemptMeta) encode() string {
 	return strings.Join([]string{
-		url.QueryEscape(t.attemptID), url.QueryEscape(t.route), strconv.Itoa(t.rank),
-		callhttp.FormatMillis(t.budget), callhttp.FormatMillis(t.maxWait), strconv.Itoa(t.responseSize),
-		strconv.FormatUint(t.revision, 10), strconv.Itoa(t.urgency),
-		callhttp.FormatMillis(t.dueIn), strconv.FormatFloat(t.retryProbability, 'f', 2, 64),
-		t.fingerprint.String(),
+		url.QueryEscape(m.attemptID), url.QueryEscape(m.route), strconv.Itoa(m.rank),
+		callhttp.FormatMillis(m.budget), callhttp.FormatMillis(m.maxWait), strconv.Itoa(m.responseSize),
+		strconv.FormatUint(m.revision, 10), strconv.Itoa(m.urgency),
+		callhttp.FormatMillis(m.dueIn), strconv.FormatFloat(m.retryProbability, 'f', 2, 64),
+		m.fingerprint.String(),
 	}, fieldSeparator)
 }
 
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -23,7 +23,7 @@
 off time-behind-a-wait internal/proxy/rank.go 's/^const workMargin = 1.5/const workMargin = 1.0/'
 off repeats internal/proxy/repeat.go 's/if arrivals >= f.route.MaxAttempts {/if true {/'
 off pace-of-large-answers internal/link/link.go 's/return \&Pacer{rate: responseShare \* bytesPerSecond}/return \&Pacer{rate: 0 * bytesPerSecond}/'
-off deadline-order-of-large-answers internal/proxy/pace.go 's/turn := \&link.Transfer{Deadline: due}/turn := \&link.Transfer{}/'
+off deadline-order-of-large-answers internal/proxy/pace.go 's/transfer := \&link.Transfer{Deadline: due}/transfer := \&link.Transfer{}/'
 
 if [ $# -ne 2 ]; then
   printf '%s\n' "${!file[@]}" | sort
