--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -228,7 +228,7 @@
 }
 
 // A customer's own archives must leave slots for its short requests.
-func TestLongLimitLeavesRoomForTheCustomersOwnShortRequests(t *testing.T) {
+func TestLongLimitLeavesSlotsForShortRequests(t *testing.T) {
 	f := newFixture(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1, LongLimit: 0.5}})
 	f.admit(2, Request{Customer: "a", Long: true})
 	f.enqueue(2, Request{Customer: "a", Long: true})
