--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -320,8 +320,8 @@
 	}
 	// Squared, since a low failure rate is mostly chance, and a failure costs less than
 	// the value of a response: another target may be tried, and the caller may retry.
-	// With the plain rate, a target that lost a part of its responses got no work at all, and the
-	// other targets got more than they could handle in time.
+	// With the plain rate, a target that lost a part of its responses got no work at
+	// all, and the other targets got more than they could handle in time.
 	failureRate := s.failureRate * math.Exp2(-now.Sub(s.failureRateAt).Seconds()/failureHalfLife.Seconds())
 	cost += failureRate * failureRate
 	cost += r.byteCost(s.Distance)
