--- a/internal/proxy/decisions.go
+++ b/internal/proxy/decisions.go
@@ -97,8 +97,8 @@
 		Str(logfield.Target, f.lastTarget).Msg("request")
 }
 
-// aborted logs a response that broke off while it was written to the caller.
-func (l *requestLog) aborted(now time.Time, f *forwarder, err error) {
+// interrupted logs a response that broke off while it was written to the caller.
+func (l *requestLog) interrupted(now time.Time, f *forwarder, err error) {
 	entry := l.newLine(now, lineFailure)
 	if entry == nil {
 		return
--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -149,7 +149,7 @@
 	}
 	writeHeader(w, resp.response)
 	if err := copyBody(w, resp); err != nil {
-		p.requestLog.aborted(p.ports.Clock.Now(), f, err)
+		p.requestLog.interrupted(p.ports.Clock.Now(), f, err)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -398,7 +398,7 @@
 // Guards against equal fingerprints of different large bodies, of which no part is
 // buffered, and against a large body that reaches its target without the part that was
 // read ahead.
-func TestLargeBodiesAreToldApart(t *testing.T) {
+func TestLargeBodiesHaveDifferentFingerprints(t *testing.T) {
 	f := newFleet(t, 1)
 	seen := map[quarantine.Fingerprint]bool{}
 	for _, letter := range []string{"a", "b"} {
--- a/internal/proxy/reach.go
+++ b/internal/proxy/reach.go
@@ -31,8 +31,8 @@
 	pingPeriod = 10 * time.Second
 	// contactValidity is how long a node counts as reachable after it answered.
 	contactValidity = 250 * time.Millisecond
-	// pingTimeout is the time allowed for the answer to a ping, in addition to two round
-	// trips.
+	// pingTimeout is the time allowed for the answer to a ping, in addition to
+	// maxRoundTrip.
 	pingTimeout = 100 * time.Millisecond
 	// minProbePause and maxProbePause limit the pause between two probes of a node that
 	// doesn't answer.
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -104,9 +104,9 @@
 	}
 	slower.cancel()
 	go func() {
-		if loser := <-ended; loser.response != nil && loser.response.rest != nil {
+		if unused := <-ended; unused.response != nil && unused.response.rest != nil {
 			// Closing it unread ends the connection.
-			_ = loser.response.rest.Close()
+			_ = unused.response.rest.Close()
 		}
 	}()
 	return resp, nil
