--- a/internal/proxy/entry.go
+++ b/internal/proxy/entry.go
@@ -121,7 +121,7 @@
 }
 
 // maxCallerTimeout is the longest timeout accepted from callers. A much larger number
-// would overflow time.Duration, and the caller would be treated as disconnected.
+// would overflow time.Duration, and the caller would count as no longer waiting.
 const maxCallerTimeout = 24 * time.Hour
 
 func (p *Proxy) pickService(snapshot *Snapshot, route *mesh.Route) string {
@@ -149,7 +149,7 @@
 	}
 	writeHeader(w, resp.response)
 	if err := copyBody(w, resp); err != nil {
-		p.requestLog.aborted(p.ports.Clock.Now(), f, err)
+		p.requestLog.interrupted(p.ports.Clock.Now(), f, err)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -15,8 +15,9 @@
 // up all the time in which another target could still respond. The second target must
 // have a free slot by its last load report, and the fleet's retry budget must allow the
 // attempt. The first attempt continues in parallel: cancelling it for a target that then
-// had no free slot wasted its work and left the caller without a response. If work is
-// log-normal with a spread of 0.5, 3 in 1,000 requests take four times the mean.
+// had no free slot wasted its work and left the caller without a response. If the time
+// of the work is log-normal with a spread of 0.5, 3 in 1,000 requests take four times the
+// mean.
 const slowFactor = 4
 
 // attempt sends the request to a target, and to a second one if the first is slow, and
@@ -56,7 +57,7 @@
 	p := f.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	expected := stats.ExpectedLatency(now, &placement.Request{Route: *p.workFor(f.route)}, slowFactor)
+	expected := stats.ExpectedLatency(now, &placement.Request{Route: *p.routeStatsFor(f.route)}, slowFactor)
 	return max(expected, f.route.TargetLatency)
 }
 
@@ -103,9 +104,9 @@
 	}
 	slower.cancel()
 	go func() {
-		if loser := <-ended; loser.response != nil && loser.response.rest != nil {
+		if unused := <-ended; unused.response != nil && unused.response.rest != nil {
 			// Closing it unread ends the connection.
-			_ = loser.response.rest.Close()
+			_ = unused.response.rest.Close()
 		}
 	}()
 	return resp, nil
