--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -26,7 +26,7 @@
 	Answered Outcome = "answered"
 	// Refused is a response that guarantees that the request did not run.
 	Refused Outcome = "refused"
-	// Unrouted is a response that no route exists for the path.
+	// Unrouted is a response which says that no route exists for the path.
 	Unrouted Outcome = "unrouted"
 	// Failed is an error response that does not say whether the request ran.
 	Failed Outcome = "failed"
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -23,7 +23,7 @@
 	RefusedNeverRuns Promise = "true-refusal"
 	// CorrectRoute requires that a request runs only at a service to which some
 	// version routes it, that it carries the service of the VM it was sent from as
-	// its caller, and that a route of every version is never reported missing.
+	// its caller, and that a route that every version has is never reported missing.
 	CorrectRoute Promise = "route"
 	// AppliedInTime requires that nodes apply a published version in time.
 	AppliedInTime Promise = "in-force"
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -159,7 +159,7 @@
 	assert.Equal(t, len(Check(h)), 0)
 }
 
-func TestPlansAreRepeatableAndEndCalm(t *testing.T) {
+func TestPlansAreRepeatableAndEndWithoutFaults(t *testing.T) {
 	for seed := range uint64(50) {
 		plan := NewPlan(seed, 20*time.Second, 6)
 		assert.DeepEqual(t, plan, NewPlan(seed, 20*time.Second, 6))
--- a/internal/soak/connection.go
+++ b/internal/soak/connection.go
@@ -20,7 +20,8 @@
 	reader  *bufio.Reader
 }
 
-// peekTimeout is how long open waits for the end of a reused connection to show.
+// peekTimeout is how long open checks whether the other side has closed a connection
+// before it is reused.
 const peekTimeout = time.Millisecond
 
 // open keeps the current connection, unless the other side has closed it, and opens
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -40,7 +40,8 @@
 
 // affects reports whether an event disturbs a VM. Publishing and reloading disturb
 // none, store faults and an overloaded service disturb all. Other events, also the
-// planned replacement of a process, disturb the VM on which they occur.
+// planned replacement of a process, disturb the VM that they name, or all VMs if they
+// name allVMs.
 func (e *Event) affects(vm int) bool {
 	switch e.Kind {
 	case Publish, PublishBurst, ReloadNode:
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -180,7 +180,7 @@
 }
 
 // replaceTarget kills or drains a target, and starts another instance at its
-// address. It does nothing if the target is already being replaced.
+// address. It does nothing if the target is already being replaced or degraded.
 func (f *fleet) replaceTarget(ctx context.Context, m *machine, fault Fault, event *Event) error {
 	if !m.targetRestart.TryLock() {
 		return nil
@@ -226,8 +226,8 @@
 	return m.setMode(f.client, usertarget.Mode{})
 }
 
-// overloadService makes all targets of a service shed, except those that are being
-// replaced.
+// overloadService makes the targets of a service shed nearly all requests, except
+// those that are being replaced or degraded.
 func (f *fleet) overloadService(ctx context.Context, service string, duration time.Duration) error {
 	var locked []*machine
 	defer func() {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -109,8 +109,8 @@
 // Parameters of plans.
 const (
 	firstFault = time.Second
-	// faultFreeTail is the end of a run in which no fault starts except KillAll, so
-	// that recovery can be checked.
+	// faultFreeTail is the end of a run in which no new fault or series is drawn,
+	// except KillAll, so that recovery can be checked.
 	faultFreeTail = 6 * time.Second
 	minPause      = 150 * time.Millisecond
 	maxPause      = 1600 * time.Millisecond
--- a/internal/soak/relay_test.go
+++ b/internal/soak/relay_test.go
@@ -47,7 +47,7 @@
 
 // Guards against data that is lost when a relay holds it back (it must arrive when the
 // fault ends), and against a reset that the client sees as an orderly close.
-func TestRelayHarms(t *testing.T) {
+func TestRelayFaults(t *testing.T) {
 	relay, conn := echoThrough(t)
 	assert.NilError(t, roundTrip(t, conn, 5*time.Second))
 	for _, fault := range []LinkFault{{HoldForward: true}, {HoldBack: true}} {
@@ -67,7 +67,7 @@
 // The server of a relay ends. Guards against a relay that still accepts connections:
 // clients must be refused, as they would be without a relay, from the moment at which
 // open connections end until the server is back.
-func TestRelayRefusesLikeItsFarSide(t *testing.T) {
+func TestRelayRefusesLikeItsServer(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	relay, err := NewRelay("127.0.0.1:0", server.Addr().String())
