--- a/internal/load/cli/cli.go
+++ b/internal/load/cli/cli.go
@@ -27,7 +27,7 @@
 }
 
 // New returns the root command of tamarackload.
-func New(wiring Dependencies) *cobra.Command {
+func New(dependencies Dependencies) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "tamarackload",
 		Short: "Send a bounded load to entry nodes on this machine, and run experiments",
@@ -37,7 +37,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(newRun(wiring), newPair(wiring), newExperiment(wiring.Experiments))
+	root.AddCommand(newRun(dependencies), newPair(dependencies), newExperiment(dependencies.Experiments))
 	return root
 }
 
--- a/internal/load/cli/run.go
+++ b/internal/load/cli/run.go
@@ -11,7 +11,7 @@
 	"tamarackquay/internal/report"
 )
 
-func newRun(wiring Dependencies) *cobra.Command {
+func newRun(dependencies Dependencies) *cobra.Command {
 	var f flags
 	c := &cobra.Command{
 		Use:     "run ENTRY...",
@@ -23,7 +23,7 @@
 				return err
 			}
 			f.config.Entries = args
-			run, err := send(c.Context(), wiring, f.config, "run")
+			run, err := send(c.Context(), dependencies, f.config, "run")
 			if err != nil {
 				return err
 			}
@@ -34,8 +34,8 @@
 	return c
 }
 
-func send(ctx context.Context, wiring Dependencies, config load.Config, name string) (report.Run, error) {
-	caller := load.NewHTTPCaller(config, wiring.Digest)
+func send(ctx context.Context, dependencies Dependencies, config load.Config, name string) (report.Run, error) {
+	caller := load.NewHTTPCaller(config, dependencies.Digest)
 	defer caller.Close()
 	run, err := load.Run(ctx, config, caller)
 	run.Name = name
@@ -52,7 +52,7 @@
 // maxRounds bounds the rounds of a paired run.
 const maxRounds = 50
 
-func newPair(wiring Dependencies) *cobra.Command {
+func newPair(dependencies Dependencies) *cobra.Command {
 	var f pairFlags
 	c := &cobra.Command{
 		Use:   "pair --a ENTRY --b ENTRY",
@@ -68,7 +68,7 @@
 			if f.rounds < 1 || f.rounds > maxRounds {
 				return errors.Errorf("--rounds must be 1 to %d", maxRounds)
 			}
-			return f.run(c, wiring)
+			return f.run(c, dependencies)
 		},
 	}
 	f.declare(c)
@@ -78,7 +78,7 @@
 	return c
 }
 
-func (f *pairFlags) run(c *cobra.Command, wiring Dependencies) error {
+func (f *pairFlags) run(c *cobra.Command, dependencies Dependencies) error {
 	r := &report.Report{Command: commandLine(c, nil), Time: time.Now().UTC()}
 	for range f.rounds {
 		for _, side := range []struct {
@@ -87,7 +87,7 @@
 		}{{"A", f.a}, {"B", f.b}} {
 			config := f.config
 			config.Entries = side.entries
-			run, err := send(c.Context(), wiring, config, side.name)
+			run, err := send(c.Context(), dependencies, config, side.name)
 			if err != nil {
 				return err
 			}
--- a/internal/load/outcome.go
+++ b/internal/load/outcome.go
@@ -8,7 +8,8 @@
 const (
 	// Answered is a complete response to this call.
 	Answered Outcome = "answered"
-	// Unknown is a response that it is not known whether the call ran.
+	// Unknown is a response which says that the system does not know whether the call
+	// ran.
 	Unknown Outcome = "unknown"
 	// Broken is a connection or body that ended early, with an error at the caller.
 	Broken Outcome = "broken"
