--- a/internal/experiment/admission/experiment_test.go
+++ b/internal/experiment/admission/experiment_test.go
@@ -141,7 +141,7 @@
 // their slots for a minute each, and the tallies resume at their full guarantee. With
 // the limit they lose at most the fraction that archives may borrow; without it they
 // lose most of their guarantee.
-func TestArchivesBorrowABoundedPart(t *testing.T) {
+func TestArchivesBorrowABoundedFraction(t *testing.T) {
 	t.Parallel()
 	fulfilled := func(fraction float64) float64 {
 		return LongRequests(testConfig(10), CoOperative, fraction).Customers[0].Fulfilled
@@ -157,7 +157,7 @@
 // have a slot reserved for them, so that chains end. Outer calls hold their slot for
 // both service times, so that goodput can be at most two thirds of the slots' time.
 // With unmarked inner calls, outer calls hold all slots until their deadlines pass.
-func TestCyclesKeepMoving(t *testing.T) {
+func TestCallCyclesComplete(t *testing.T) {
 	t.Parallel()
 	marked := Cycle(testConfig(4), CoOperative, 1, 1.2, true, PolicyShares)
 	unmarked := Cycle(testConfig(4), CoOperative, 1, 1.2, false, PolicyShares)
--- a/internal/experiment/largeanswers/largeanswers_test.go
+++ b/internal/experiment/largeanswers/largeanswers_test.go
@@ -14,7 +14,7 @@
 // against an order of sending that misses deadlines: of the admitted responses, more
 // must be in time if the one with the earliest deadline is sent first than if the first
 // ready one is.
-func TestDueFirstIsInTimeMoreOften(t *testing.T) {
+func TestDeadlineFirstIsInTimeMoreOften(t *testing.T) {
 	admitted := Archives.Admitted(1)
 	readyFirst, deadlineFirst := Archives.OnTimeFraction(admitted, ReadyFirst), Archives.OnTimeFraction(admitted, DeadlineFirst)
 	t.Logf("in time: %.3f with the first ready response sent first, %.3f with the earliest deadline sent first", readyFirst, deadlineFirst)
@@ -22,8 +22,8 @@
 	assert.Assert(t, deadlineFirst >= 0.97, "%.3f", deadlineFirst)
 }
 
-// Guards against needless refusals. At half of the link's rate, nearly nothing must be
-// refused, although arrivals are clustered.
+// Guards against needless refusals. At half of the link's rate, hardly any request may
+// be refused, although arrivals are clustered.
 func TestNothingIsRefusedBelowTheLinksRate(t *testing.T) {
 	load := Archives
 	load.Demand = 0.5
