--- a/internal/report/ratio.go
+++ b/internal/report/ratio.go
@@ -33,8 +33,8 @@
 			name string
 			of   func(Quantiles) float64
 		}{
-			{"p50", func(w Quantiles) float64 { return w.P50 }},
-			{"p99", func(w Quantiles) float64 { return w.P99 }},
+			{"p50", func(q Quantiles) float64 { return q.P50 }},
+			{"p99", func(q Quantiles) float64 { return q.P99 }},
 		} {
 			ratio := Ratio{Kind: kind.Name, Quantile: quantile.name}
 			var added []float64
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -29,7 +29,7 @@
 	Seed    uint64  `json:"seed"`
 	Kinds   []Kind  `json:"kinds"`
 	// Lateness is how long after their scheduled time calls were sent. It is the
-	// error of the load generator.
+	// inaccuracy of the load generator, not of the system under load.
 	Lateness Quantiles `json:"lateness"`
 }
 
@@ -43,7 +43,7 @@
 	Curve   []Point   `json:"curve"`
 }
 
-// Quantiles are quantiles in milliseconds.
+// Quantiles holds the number of values and their quantiles in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestTextShowsWaitsAndOutcomes(t *testing.T) {
+func TestTextShowsLatencyAndOutcomes(t *testing.T) {
 	r := exampleReport(t)
 	var out bytes.Buffer
 	r.Text(&out)
