--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -1,4 +1,4 @@
-// Package memnet is a small in-memory fake of port.Peers and port.Platform for
+// Package memnet is a small in-memory stand-in for port.Peers and port.Platform, for
 // failure tests under testing/synctest. Messages can be blocked, delayed, dropped
 // and counted. It is not a cluster simulator: the tests decide what fails.
 package memnet
@@ -21,8 +21,9 @@
 	Messages    int
 	Bytes       int
 	CrossRegion int
-	// Control counts the bytes of messages of package distribution, without those
-	// of membership. ControlCrossRegion counts those of them sent between regions.
+	// Control is the part of Bytes that carries versions: messages of package
+	// distribution, without those of membership. ControlCrossRegion is the part of
+	// Control that was sent between regions.
 	Control            int
 	ControlCrossRegion int
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is a fake of the platform's configuration service and VM list
-// for tests and the demo. It implements the published protocol and injects faults
-// that users have seen.
+// Package platform is a stand-in for the platform's configuration service and VM
+// list, for tests and the demo only. It implements the published protocol and injects
+// faults that users have seen.
 package platform
 
 import (
@@ -51,7 +51,7 @@
 	content  []byte
 }
 
-// Platform is a fake platform. It is safe for concurrent use.
+// Platform is the stand-in platform. It is safe for concurrent use.
 type Platform struct {
 	budget *rate.Limiter
 
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -1,5 +1,5 @@
-// Package target is a fake target for tests and the demo: an upstream with slots,
-// cold start, load shedding, and a ledger of the requests that it ran.
+// Package target is a stand-in for a target, for tests and the demo only: an upstream
+// with slots, cold start, load shedding, and a ledger of the requests that it ran.
 package target
 
 import (
@@ -71,7 +71,7 @@
 // coldFactor multiplies the service time of a cold target.
 const coldFactor = 10
 
-// Target is a fake target. It is safe for concurrent use.
+// Target is a stand-in target. It is safe for concurrent use.
 type Target struct {
 	slots   int
 	started time.Time
--- a/standin/userfiles/userfiles.go
+++ b/standin/userfiles/userfiles.go
@@ -1,5 +1,5 @@
-// Package userfiles generates the files of the users' platform and its operators for
-// tests and the soak: the settings file of a node and a version of the
+// Package userfiles generates the files of the users' platform and its operators, for
+// tests and the soak only: the settings file of a node and a version of the
 // configuration.
 package userfiles
 
--- a/standin/userstore/http.go
+++ b/standin/userstore/http.go
@@ -10,7 +10,7 @@
 )
 
 // Paths for the writes of targets, operators and tests. They are specific to this
-// fake; nodes never call them.
+// stand-in; nodes never call them.
 const (
 	PathPut     = "/admin/put"
 	PathRenew   = "/admin/renew"
--- a/standin/userstore/store.go
+++ b/standin/userstore/store.go
@@ -1,6 +1,6 @@
-// Package userstore is a fake of the users' platform store for tests and the soak:
-// keys with revisions, leases and a history that can be compacted. Nodes read it,
-// and targets and operators write it, over HTTP.
+// Package userstore is a stand-in for the store of the users' platform, for tests and
+// the soak only: keys with revisions, leases and a history that can be compacted.
+// Nodes read it, and targets and operators write it, over HTTP.
 package userstore
 
 import (
--- a/standin/usertarget/target.go
+++ b/standin/usertarget/target.go
@@ -1,6 +1,6 @@
-// Package usertarget is a fake target of the users' platform for tests and the soak:
-// it has slots, checks the expected instance of a request, signs each response, and
-// keeps a ledger of the requests that arrived and ran.
+// Package usertarget is a stand-in for a target of the users' platform, for tests and
+// the soak only: it has slots, checks the expected instance of a request, signs each
+// response, and keeps a ledger of the requests that arrived and ran.
 package usertarget
 
 import (
@@ -65,7 +65,7 @@
 	At time.Duration `json:"at"`
 }
 
-// Target is a fake target. It is safe for concurrent use.
+// Target is a stand-in target. It is safe for concurrent use.
 type Target struct {
 	instance, service string
 	slots             int
