--- a/test/process/main_test.go
+++ b/test/process/main_test.go
@@ -1,6 +1,6 @@
 // Package process tests the complete system as separate processes that communicate
-// over loopback: nodes, fake targets and a fake platform. The tests stop, kill and
-// pause only processes that they started.
+// over loopback: nodes, stand-in targets and the stand-in platform. The tests stop,
+// kill and pause only processes that they started.
 package process
 
 import (
--- a/test/process/path_test.go
+++ b/test/process/path_test.go
@@ -30,7 +30,7 @@
 // Checks the complete path of a request: each of the three kinds enters at a node of
 // another service and gets a complete response from a target behind another node.
 // Afterwards a changed contract is applied on every node.
-func TestWholePath(t *testing.T) {
+func TestCompletePath(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts("5s"))
 	f.waitVersion()
--- a/test/process/pause_test.go
+++ b/test/process/pause_test.go
@@ -16,11 +16,11 @@
 	"tamarackquay/standin/target"
 )
 
-// pausesVariable sets how often the owner is paused, for long runs started by hand.
-// usualPauses is the default.
+// pausesVariable sets the number of times that the owner is paused, for long runs
+// started by hand. defaultPauses is the default.
 const (
 	pausesVariable = "TAMARACK_PAUSES"
-	usualPauses    = 4
+	defaultPauses  = 4
 )
 
 // Guards against a return that starts after its deadline because the owner was paused
@@ -28,7 +28,7 @@
 // begins during a burst.
 func TestPausesIntoBurstsStartNothingLate(t *testing.T) {
 	t.Parallel()
-	pauses := usualPauses
+	pauses := defaultPauses
 	if text := os.Getenv(pausesVariable); text != "" {
 		var err error
 		pauses, err = strconv.Atoi(text)
--- a/test/process/soak_test.go
+++ b/test/process/soak_test.go
@@ -10,9 +10,9 @@
 
 // Runs two short seeds of the soak: real nodes are killed, paused, restarted,
 // disconnected and sent new versions in overlapping series, while callers keep using
-// their connections. The reported outcomes must match the runs of the targets. Time
-// limits are checked only in runs by hand (--untimed): on a busy machine they can be
-// exceeded without a fault.
+// their connections. The reported outcomes must match the runs of the targets.
+// Promises with a time bound are left to runs by hand, hence --untimed: a busy machine
+// can break them without a fault in the system.
 func TestSoakInShort(t *testing.T) {
 	t.Parallel()
 	// Concurrent test runs use other addresses.
