--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,6 @@
-# Starts and stops the fleet of scripts/demo.sh and scripts/play.sh: the fake platform,
-# fake targets and the nodes, as separate processes on loopback. Source it from the
-# root of the repository. It ends only processes that it started.
+# Starts and stops the fleet of scripts/demo.sh and scripts/play.sh: the stand-in
+# platform, stand-in targets and the nodes, as separate processes on loopback. Source it
+# from the root of the repository. It ends only processes that it started.
 
 command -v curl >/dev/null || { echo "needs curl, which is not installed" >&2; exit 1; }
 
--- a/scripts/publish.sh
+++ b/scripts/publish.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Uploads the output of 'tamarackctl build' to the fake platform: the parts first and
-# the manifest last, since nodes read the parts as soon as they see a new manifest. With
-# a real platform, use its own tool in the same order.
+# Uploads the output of 'tamarackctl build' to the stand-in platform: the parts first
+# and the manifest last, since nodes act on the manifest. With a real platform, use its
+# own tool in the same order.
 set -euo pipefail
 [ $# = 2 ] || { echo "usage: scripts/publish.sh DIRECTORY http://PLATFORM" >&2; exit 2; }
 # Without this check curl would upload an empty value for a missing file, and every
