--- a/cmd/tamarackd/main.go
+++ b/cmd/tamarackd/main.go
@@ -35,7 +35,7 @@
 	var checkOnly bool
 	command := &cobra.Command{
 		Use:           "tamarackd --config FILE",
-		Short:         "Serve callers and spread configuration on one target VM",
+		Short:         "Serve callers and distribute configuration on one target VM",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -217,7 +217,7 @@
 	d.log.Info().Msg("stopping")
 	d.node.Stop(context.Background())
 	if err := d.callers.StopAccepting(); err != nil {
-		d.log.Warn().Err(err).Msg("close callers listener")
+		d.log.Warn().Err(err).Msg("failed to close callers listener")
 	}
 	d.awaitIdleCallers()
 	if err := d.callers.CloseIdle(); err != nil {
--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -145,7 +145,7 @@
 	running.Wait()
 	c.log.Info().Msg("stopped")
 	if closeErr := c.output.Close(); closeErr != nil && err == nil {
-		err = errors.Wrap(closeErr, "log output")
+		err = errors.Wrap(closeErr, "close log output")
 	}
 	return err
 }
--- a/cmd/tamarackd/sidecar_listen.go
+++ b/cmd/tamarackd/sidecar_listen.go
@@ -42,9 +42,9 @@
 		name, address string
 		run           func(net.Listener) error
 	}{
-		{"callers", s.CallerAddress, c.callers.Run},
-		{"peers", net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)), c.peerServer.Serve},
-		{"readiness", s.ReadinessAddress, (&http.Server{Handler: readiness, ReadHeaderTimeout: readHeaderTimeout}).Serve},
+		{"callers listener", s.CallerAddress, c.callers.Run},
+		{"peers listener", net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)), c.peerServer.Serve},
+		{"readiness listener", s.ReadinessAddress, (&http.Server{Handler: readiness, ReadHeaderTimeout: readHeaderTimeout}).Serve},
 	}
 	for _, server := range servers {
 		listener, err := net.Listen("tcp", server.address)
@@ -68,7 +68,7 @@
 	})
 	listener, err := net.Listen("tcp", net.JoinHostPort(c.settings.IP, strconv.Itoa(port)))
 	if err != nil {
-		return errors.Wrap(err, "metrics")
+		return errors.Wrap(err, "metrics listener")
 	}
 	go serve((&http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}).Serve, listener, failed)
 	return nil
--- a/cmd/tamarackd/sidecar_stop.go
+++ b/cmd/tamarackd/sidecar_stop.go
@@ -30,7 +30,7 @@
 	wait.Sleep(context.Background(), removalDelay)
 	c.proxy.StopLocal()
 	if err := c.callers.StopAccepting(); err != nil {
-		c.log.Warn().Err(err).Msg("close callers listener")
+		c.log.Warn().Err(err).Msg("failed to close callers listener")
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/internal/adapter/callhttp/outcome.go
+++ b/internal/adapter/callhttp/outcome.go
@@ -91,7 +91,7 @@
 	status, outcome := encodeRefusal(header, refusal)
 	body, err := json.Marshal(outcome)
 	if err != nil {
-		return nil, errors.Wrap(err, "refusal")
+		return nil, errors.Wrap(err, "encode refusal")
 	}
 	response := &http.Response{
 		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: header, Close: true,
@@ -99,7 +99,7 @@
 	}
 	var buf bytes.Buffer
 	err = response.Write(&buf)
-	return buf.Bytes(), errors.Wrap(err, "refusal")
+	return buf.Bytes(), errors.Wrap(err, "write refusal")
 }
 
 func writeOutcome(w http.ResponseWriter, status int, outcome Outcome) {
--- a/internal/adapter/peertls/issue.go
+++ b/internal/adapter/peertls/issue.go
@@ -40,7 +40,7 @@
 func IssuePeer(authority *Pair, name string, now time.Time, life time.Duration) (*Pair, error) {
 	parent, err := tls.X509KeyPair(authority.Certificate, authority.Key)
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "load authority")
 	}
 	template, key, err := newTemplate(name, now, life)
 	if err != nil {
@@ -54,11 +54,11 @@
 func newTemplate(name string, now time.Time, life time.Duration) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "peer key")
+		return nil, nil, errors.Wrap(err, "generate key")
 	}
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "serial number")
+		return nil, nil, errors.Wrap(err, "generate serial number")
 	}
 	template := &x509.Certificate{
 		SerialNumber: serial,
--- a/internal/command/audit/audit.go
+++ b/internal/command/audit/audit.go
@@ -38,7 +38,7 @@
 	c := &cobra.Command{
 		Use:   "audit ADDRESS...",
 		Short: "Show published versions with their publishers, and when each node applied or refused them",
-		Long: "Show the audit trails of all named nodes, merged in order of time. Times are by each node's clock; " +
+		Long: "Show the audit trails of all named nodes, merged in order of time. Timestamps are from each node's clock; " +
 			"a node keeps its last 2,048 events, and the log stream has all of them.\n\n" +
 			"A node that can't be reached is shown as a line of the output.",
 		Example: "  tamarackctl audit 127.0.0.1:8302 127.0.0.1:8312 --since 1h --kind version-applied,version-refused\n" +
--- a/internal/command/build/build.go
+++ b/internal/command/build/build.go
@@ -110,12 +110,12 @@
 	}
 	for hash, raw := range publication.Parts {
 		if err := os.WriteFile(filepath.Join(dir, "part", hash.String()), raw, fileMode); err != nil {
-			return errors.Wrap(err, "part")
+			return errors.Wrap(err, "write part")
 		}
 	}
 	raw, err := publication.Manifest.Encode()
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(dir, "manifest"), raw, fileMode), "manifest")
+	return errors.Wrap(os.WriteFile(filepath.Join(dir, "manifest"), raw, fileMode), "write manifest")
 }
--- a/internal/command/peercert/peercert.go
+++ b/internal/command/peercert/peercert.go
@@ -62,21 +62,21 @@
 	}
 	certificate, err := os.ReadFile(filepath.Join(o.authority, "cert.pem"))
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "--authority")
 	}
 	key, err := os.ReadFile(filepath.Join(o.authority, "key.pem"))
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "--authority")
 	}
 	return peertls.IssuePeer(&peertls.Pair{Certificate: certificate, Key: key}, name, now, o.life)
 }
 
 func writePair(dir string, pair *peertls.Pair) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return errors.Wrap(err, "out")
+		return errors.Wrap(err, "--out")
 	}
 	if err := os.WriteFile(filepath.Join(dir, "key.pem"), pair.Key, keyMode); err != nil {
-		return errors.Wrap(err, "key")
+		return errors.Wrap(err, "write key")
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(dir, "cert.pem"), pair.Certificate, fileMode), "certificate")
+	return errors.Wrap(os.WriteFile(filepath.Join(dir, "cert.pem"), pair.Certificate, fileMode), "write certificate")
 }
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -21,9 +21,9 @@
 	c := &cobra.Command{
 		Use:   "status ADDRESS...",
 		Short: "Show versions and their age across nodes, lagging nodes, and refused versions and requests",
-		Long: "Show the state, the version in force and its age of each named node, which nodes lag behind the " +
+		Long: "Show the state of each named node, its version in force and the age of that version, which nodes lag behind the " +
 			"newest version, and the refused versions and requests with the reasons.\n\nA node that can't be reached is shown as a line of the output. " +
-			"The exit code is 1 if a node can't be reached, lags, is in another state than ready, or has lost contact with a failure domain.",
+			"The exit code is 1 if a node can't be reached, lags, is in a state other than ready, or has lost contact with a failure domain.",
 		Example: "  tamarackctl status 127.0.0.1:8302 127.0.0.1:8312\n" +
 			"  tamarackctl status --nodes nodes.txt --wait 1.7 --timeout 15s",
 		Args: cobra.ArbitraryArgs,
--- a/internal/command/trace/trace.go
+++ b/internal/command/trace/trace.go
@@ -71,7 +71,7 @@
 		found, err := scanLines(id, stdin)
 		lines = append(lines, found...)
 		if err != nil {
-			return nil, errors.Wrap(err, "standard input")
+			return nil, errors.Wrap(err, "read standard input")
 		}
 	}
 	for _, name := range files {
--- a/internal/soak/cli/cli.go
+++ b/internal/soak/cli/cli.go
@@ -101,7 +101,7 @@
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "path of this program")
+		return errors.Wrap(err, "determine path of this program")
 	}
 	if o.node == "" {
 		o.node = filepath.Join(filepath.Dir(self), "tamarackd")
--- a/internal/soak/cli/plan.go
+++ b/internal/soak/cli/plan.go
@@ -18,7 +18,7 @@
 	var vms int
 	command := &cobra.Command{
 		Use:   "plan",
-		Short: "Show the plan of faults of a seed",
+		Short: "Show the fault plan of a seed",
 		Args:  cobra.NoArgs,
 		Run: func(command *cobra.Command, _ []string) {
 			for _, f := range soak.NewPlan(seed, duration, vms) {
@@ -40,11 +40,11 @@
 		RunE: func(command *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
-				return errors.Wrap(err, "history")
+				return errors.Wrap(err, "read history")
 			}
 			var history soak.History
 			if err := json.Unmarshal(raw, &history); err != nil {
-				return errors.Wrap(err, "history")
+				return errors.Wrap(err, "decode history")
 			}
 			found := soak.Check(&history)
 			for _, f := range found {
--- a/internal/soak/cli/standins.go
+++ b/internal/soak/cli/standins.go
@@ -27,7 +27,7 @@
 		RunE: func(command *cobra.Command, _ []string) error {
 			server := &http.Server{Addr: listen, Handler: userstore.New().Handler()}
 			defer context.AfterFunc(command.Context(), func() { _ = server.Close() })()
-			return errors.Wrap(server.ListenAndServe(), "store")
+			return errors.Wrap(server.ListenAndServe(), "serve store")
 		},
 	}
 	command.Flags().StringVar(&listen, "listen", "", "address to listen on")
@@ -73,13 +73,13 @@
 func (o *targetOptions) run() error {
 	ledger, err := os.OpenFile(o.ledger, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "ledger")
+		return errors.Wrap(err, "open ledger")
 	}
 	startTime := time.Now()
 	t := usertarget.New(o.registration.Instance, o.registration.Service, targetSlots, targetWork, ledger, crash)
 	listener, err := net.Listen("tcp", o.listen)
 	if err != nil {
-		return errors.Wrap(err, "target")
+		return errors.Wrap(err, "target listener")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -91,7 +91,7 @@
 	go o.registration.Run(registered, startTime)
 	select {
 	case err := <-failed:
-		return errors.Wrap(err, "target")
+		return errors.Wrap(err, "serve target")
 	case <-ctx.Done():
 	}
 	wait.Sleep(context.Background(), shutdownDelay)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -96,7 +96,7 @@
 	f := &fleet{programs: programs, dir: dir, secondOctet: secondOctet, recorder: &recorder{}, client: &http.Client{Timeout: 5 * time.Second}}
 	store, err := startProcess(&f.storeLog, nil, programs.Self, "store", "--listen", f.storeAddress())
 	if err != nil {
-		return nil, errors.Wrap(err, "store")
+		return nil, errors.Wrap(err, "start store")
 	}
 	f.store = store
 	if err := f.waitStore(); err != nil {
@@ -292,7 +292,7 @@
 func (f *fleet) postToStore(path string, query url.Values, body []byte) error {
 	response, err := f.client.Post("http://"+f.storeAddress()+path+"?"+query.Encode(), "", bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "store")
+		return errors.Wrap(err, "send request to store")
 	}
 	return response.Body.Close()
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -48,7 +48,7 @@
 		if !wait.Sleep(ctx, time.Until(begin.Add(fault.At))) {
 			break
 		}
-		running.Go(func() { failed <- errors.Wrapf(f.injectFault(ctx, fault), "%s on %d", fault.Kind, fault.VM) })
+		running.Go(func() { failed <- errors.Wrapf(f.injectFault(ctx, fault), "inject %s on VM %d", fault.Kind, fault.VM) })
 	}
 	running.Wait()
 	close(failed)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -43,7 +43,7 @@
 func Run(ctx context.Context, o Options) (*Result, error) {
 	dir, err := os.MkdirTemp("", "tamaracksoak")
 	if err != nil {
-		return nil, errors.Wrap(err, "soak")
+		return nil, errors.Wrap(err, "create soak directory")
 	}
 	defer os.RemoveAll(dir)
 	f, err := newFleet(o.Programs, dir, o.SecondOctet, o.VMs)
--- a/standin/usertarget/register.go
+++ b/standin/usertarget/register.go
@@ -91,7 +91,7 @@
 	e.Status.State, e.Status.ColdRemaining = state, "0ms"
 	value, err := json.Marshal(&e)
 	if err != nil {
-		return errors.Wrap(err, "entry")
+		return errors.Wrap(err, "encode entry")
 	}
 	query := url.Values{"key": {Key(r.Instance)}, "ttl_ms": {fmt.Sprint((ttlHeartbeats * r.Heartbeat).Milliseconds())}}
 	return r.post(ctx, userstore.PathPut, query, value)
@@ -100,11 +100,11 @@
 func (r *Registration) post(ctx context.Context, path string, query url.Values, body []byte) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Store+path+"?"+query.Encode(), bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "store")
+		return errors.Wrap(err, "create store request")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Wrap(err, "store")
+		return errors.Wrap(err, "send store request")
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusMultipleChoices {
