--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -32,7 +32,7 @@
 
 // Timeouts and intervals of the node process.
 const (
-	// linger is how long a stopping node goes on serving callers. It is longer
+	// linger is how long a stopping node continues to serve callers. It is longer
 	// than the usual pause of a caller between two requests, and short compared
 	// with the time allowed for a planned stop.
 	linger = time.Second
--- a/cmd/tamarackd/sidecar_stop.go
+++ b/cmd/tamarackd/sidecar_stop.go
@@ -20,8 +20,8 @@
 )
 
 // stop shuts the process down gracefully. The node reports that it isn't ready and
-// goes on serving until the platform sends no more callers. Then it gives the local
-// target no more work, and closes each connection after its final response.
+// continues to serve until the platform sends no more callers. Then it gives the
+// local target no more work, and closes each connection after its final response.
 func (c *sidecar) stop() {
 	begin := time.Now()
 	c.log.Info().Int64("open", c.proxy.InFlight()).Msg("stopping")
--- a/internal/adapter/callerhttp/idle.go
+++ b/internal/adapter/callerhttp/idle.go
@@ -206,9 +206,9 @@
 	net.Conn
 
 	mu sync.Mutex
-	// fresh is true until the first byte is received. A caller that has just
-	// connected is about to send its request, and would take a response before it
-	// for a connection error. Its request is answered instead.
+	// fresh is true until the first byte is received. A caller that has just connected is
+	// about to send its request, and would treat a response that arrives first as a
+	// connection error. Its request is answered instead.
 	fresh bool
 	// active is true while the server handles a request.
 	active bool
--- a/internal/adapter/callhttp/attempt.go
+++ b/internal/adapter/callhttp/attempt.go
@@ -23,9 +23,9 @@
 // connection.
 //
 // When a reused connection breaks, net/http itself sends a request again if its method
-// or an Idempotency-Key header makes it look replayable. If the target ran the request
-// before the connection broke, it would run it twice. Therefore each write is checked
-// here, below net/http, where net/http's own rules can't bypass the check.
+// or an Idempotency-Key header makes it look replayable. If the target had run the
+// request before the connection broke, the request would run twice. Therefore each write
+// is checked here, below net/http, where net/http's own rules can't bypass the check.
 //
 // An attempt is safe for concurrent use.
 type attempt struct {
--- a/internal/adapter/targethttp/targethttp.go
+++ b/internal/adapter/targethttp/targethttp.go
@@ -92,9 +92,9 @@
 
 // checkResponse rejects responses that belong to another request or whose completeness
 // can't be verified. If the end of the connection marks the end of the body, a response
-// that is cut off because the target is killed looks complete, and a caller would take
-// half a log for all of it. If the response contains a request id, it must be that of the
-// call.
+// that is cut off because the target is killed looks complete, and a caller would accept
+// half a log as the complete one. If the response contains a request id, it must be that
+// of the call.
 func checkResponse(call *port.Call, response *http.Response) error {
 	if id := response.Header.Get(callhttp.HeaderRequestID); id != "" && id != call.ID {
 		return &port.UnknownOutcome{Stage: "answer", Cause: errors.Errorf("the target answered request %s", id)}
--- a/internal/admission/cycle.go
+++ b/internal/admission/cycle.go
@@ -6,9 +6,9 @@
 // Such cycles can deadlock a target: all slots are held by outer calls, all their inner
 // calls wait for a slot, and nothing proceeds until deadlines pass. Therefore, while a
 // customer sends such calls, its shallower calls leave one slot free for each deeper
-// level. One slot a level is enough: the innermost call always finds a slot, its end
-// also lets the outer call that waits for it end, and both slots go to inner calls
-// first.
+// level. One slot per level is enough: the innermost call always finds a slot; when it
+// ends, the outer call that waits for it can end as well, and both slots go to inner
+// calls first.
 //
 // Other customers' calls may use the reserved slots: they end without an inner call, or
 // reserve slots themselves. A caller can claim any chain, so a claim must not withhold
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -71,8 +71,8 @@
 	return max(usable, min(c.guaranteed, 1), minUsableSlots)
 }
 
-// estimateWait estimates when a request starts that has the given number of requests of
-// its customer ahead of it, from the measured rate at which slots become free; zero if
+// estimateWait estimates when a request starts if the given number of requests of its
+// customer are ahead of it, from the measured rate at which slots become free; zero if
 // nothing has been measured. A customer below its guarantee gets the next slots that
 // anyone frees. Other customers get slots at the rate at which their own become free.
 func (q *Queue) estimateWait(c *customer, ahead int, long bool) time.Duration {
--- a/internal/admission/estimate_test.go
+++ b/internal/admission/estimate_test.go
@@ -109,10 +109,10 @@
 	assert.Check(t, refused.RetryAfter < 2*defaultHold, "%s", refused.RetryAfter)
 }
 
-// The system restarts under ten times its load, so the queue has measured nothing yet.
-// The number of waiting requests must still be bounded, all other callers must be
-// refused at once with a retry time, and each contract must get its part of the slots
-// from the start.
+// The system restarts under ten times the load that it can serve, so the queue has
+// measured nothing yet. The number of waiting requests must still be bounded, all other
+// callers must be refused at once with a retry time, and each contract must get its part
+// of the slots from the start.
 func TestRestartUnderOverload(t *testing.T) {
 	f := newFixture(t, 4, equalShares())
 	refused := 0
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -147,8 +147,8 @@
 
 func (m *model) start(r Request) {
 	held, _ := m.held(r.Customer)
-	// Running requests are never cut, so after a limit has been lowered no request may
-	// start until it is met again.
+	// Running requests are never interrupted, so after a limit has been lowered no
+	// request may start until it is met again.
 	assert.Assert(m.t, m.eligible(r), "%+v started; %d held, limit %d; %d of %d slots borrowed by long requests", r, held, m.limit(r.Customer), m.borrowedLong(), m.borrowedLongLimit())
 	assert.Assert(m.t, len(m.running) < m.q.Slots())
 	if float64(held) >= m.guaranteed(r.Customer) {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -159,8 +159,8 @@
 }
 
 // enqueueRefusal returns why the request must not be queued, or ReasonNone. A request
-// that can't start before its deadline would wait in vain. Each customer's queue is
-// bounded, so a customer far over its contract fills only its own.
+// that can't start before its deadline would only occupy the queue. Each customer's
+// queue is bounded, so a customer far over its contract fills only its own.
 func (q *Queue) enqueueRefusal(now time.Time, e *entry) Reason {
 	c := e.customer
 	if e.request.NoWait {
@@ -191,8 +191,9 @@
 }
 
 // displace drops the customer's waiting request that would be served last, if it comes
-// after e. This way an inspector isn't refused because lookups fill the queue, nor an
-// inner call because new chains do. It reports whether a request was dropped.
+// after e. Otherwise lookups that fill the queue would cause the refusal of an
+// inspector, and new chains that of an inner call. It reports whether a request was
+// dropped.
 func (q *Queue) displace(now time.Time, e *entry) bool {
 	c := e.customer
 	last := c.short.last()
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -236,8 +236,8 @@
 }
 
 // The target loses half its slots while all are in use and more requests wait. Running
-// requests must not be cut, no request may start until the excess has ended, and waiting
-// requests must be neither lost nor duplicated.
+// requests must not be interrupted, no request may start until the excess has ended, and
+// waiting requests must be neither lost nor duplicated.
 func TestHalfTheSlotsLost(t *testing.T) {
 	f := newFixture(t, 4, equalShares())
 	running := append(f.admit(2, Request{Customer: "a"}), f.admit(2, Request{Customer: "b"})...)
--- a/internal/command/audit/audit.go
+++ b/internal/command/audit/audit.go
@@ -29,7 +29,7 @@
 }
 
 // defaultSince limits the output of a large fleet to the recent events, which are
-// asked for most.
+// queried most often.
 const defaultSince = 24 * time.Hour
 
 // New returns the subcommand.
--- a/internal/command/build/origin.go
+++ b/internal/command/build/origin.go
@@ -76,8 +76,9 @@
 }
 
 // dropsUpdate reports whether the published version differs from the one that the
-// new version is based on. Comparing the content is not enough: a change that was
-// published and reverted has the old root again, and its publisher should be asked.
+// new version is based on. Comparing the content is not enough: after a change was
+// published and reverted, the root is the old one again, but the operators who made
+// these changes should still be asked.
 func dropsUpdate(parent, current *snapshot.Manifest) bool {
 	if current == nil {
 		return false
--- a/internal/experiment/admission/experiment_test.go
+++ b/internal/experiment/admission/experiment_test.go
@@ -155,8 +155,8 @@
 // Guards against a deadlock of call chains. Each request calls the same service again
 // while it holds its slot, and demand exceeds the slots. Marked inner calls go first and
 // have a slot reserved for them, so that chains end. Outer calls hold their slot for
-// both service times, so that goodput can be at most two thirds of the slots' time.
-// With unmarked inner calls, outer calls hold all slots until their deadlines pass.
+// both service times, so goodput can be at most two thirds of the slots' time. With
+// unmarked inner calls, outer calls hold all slots until their deadlines pass.
 func TestCallCyclesComplete(t *testing.T) {
 	t.Parallel()
 	marked := Cycle(testConfig(4), CoOperative, 1, 1.2, true, PolicyShares)
--- a/internal/follow/notices_test.go
+++ b/internal/follow/notices_test.go
@@ -22,8 +22,8 @@
 	poison      = quarantine.Fingerprint(1 << 60)
 )
 
-// crashThreeTargets makes three nodes report one crash each, in which the poison request
-// ran beside others.
+// crashThreeTargets makes three nodes report one crash each, during which the poison
+// request ran together with others.
 func (w *world) crashThreeTargets(nodes []string) {
 	for i, node := range nodes[:3] {
 		suspects := []quarantine.Fingerprint{poison}
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -170,8 +170,8 @@
 	}
 	wait := f.timing.watchTimeout
 	if !f.lostAt.IsZero() || f.Age() < 0 {
-		// The first response ever, and the first after an outage, must come at once: it
-		// makes the view current for all followers.
+		// The first response ever, and the first after an outage, must come immediately:
+		// it makes the view current for all followers.
 		wait = 0
 	}
 	changes, err := f.platform.Watch(ctx, f.revision, wait)
--- a/internal/follow/states.go
+++ b/internal/follow/states.go
@@ -49,7 +49,7 @@
 }
 
 // logTransitions logs the targets whose state has changed. Age is the age of the view
-// before the update, late the time that the update was in transit.
+// before the update, late is the time that the update was in transit.
 func (f *Follower) logTransitions(before map[string]targetStatus, age, late time.Duration) {
 	now := f.clock.Now()
 	for id, was := range before {
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -323,8 +323,8 @@
 }
 
 // drainingSince returns the latest time at which a target may have begun to drain. A target
-// that is first seen draining, without a time, may have been draining for long and is dated
-// back by removalRetention.
+// that is first seen draining, without a time, may have been draining for a long time, so
+// the result is removalRetention before the time of the update.
 func drainingSince(sent time.Time, known *Member, target *Target) time.Time {
 	switch {
 	case known != nil && known.State == Draining:
--- a/internal/node/choose.go
+++ b/internal/node/choose.go
@@ -23,9 +23,10 @@
 func (c *candidates) Cost(i int) float64 { return c.targets[i].cost(c.now, c.slowStart) }
 
 // choose returns the target for the next attempt, or nil if none is left. It
-// prefers the nearest targets from minDistance on, then nearer ones, and as a
-// last resort targets that are ejected or backed off from. Without the last
-// resort, a wrong ejection would refuse requests that could be served.
+// prefers targets at minDistance or farther, the nearest of them first, then
+// nearer ones, and as a last resort targets that are ejected or in backoff.
+// Without the last resort, a wrong ejection would refuse requests that could be
+// served.
 func (f *forwarder) choose(now time.Time, minDistance routing.Distance) *target {
 	p := f.node.targets.targets(now, f.upstreams, f.call.Service, f.node.view.Load())
 	for distance := minDistance; distance <= routing.OtherRegion; distance++ {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -131,8 +131,8 @@
 
 // checkState returns a refusal unless this node's configuration and membership
 // are current. It checks for a pause itself: after a pause a request may resume
-// before the control loop, which then clears ready, and would act on the state
-// from before the pause.
+// before the control loop has cleared ready, and would act on the state from
+// before the pause.
 func (n *Node) checkState() *port.Refusal {
 	if n.PausedFor(n.ports.Clock.Now()) > 0 {
 		return port.Refuse(port.ReasonNotReady, retryWhenNotReady, "this node was paused and asks its peers what it missed")
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -30,9 +30,9 @@
 	return heartbeatState{heartbeat: heartbeat, at: now}
 }
 
-// heartbeat returns the heartbeat for a peer of that failure domain. The time
-// since publication is added to the age of each contact: if ages did not grow
-// while nodes exchange them, a lost domain would count as reachable for ever.
+// heartbeat returns the heartbeat for a peer in the given failure domain. The
+// time since publication is added to the age of each contact: if ages did not
+// grow while nodes exchange them, a lost domain would count as reachable forever.
 func (n *Node) heartbeat(failureDomain string) port.Heartbeat {
 	last := n.status.Load().heartbeat
 	heartbeat := last.heartbeat
--- a/internal/node/mesh_test.go
+++ b/internal/node/mesh_test.go
@@ -35,7 +35,8 @@
 	// config and pace are the settings of nodes that start from now on.
 	config distribution.Config
 	pace   distribution.ReadPacing
-	// calls is closed to end the calls of a measurement; nil without one.
+	// calls is closed to end the calls of a measurement; nil if there is no
+	// measurement.
 	calls chan struct{}
 }
 
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -40,8 +40,8 @@
 
 // observe sets gauges and records changes since the last round.
 func (o *observer) observe(n *Node, now time.Time, s *Status, view *membership.View) {
-	// Each platform state that health has shown is recorded, however short it
-	// was.
+	// Each platform state that health has shown is recorded, however briefly it
+	// lasted.
 	if event, ok := platformEvent(o.auditedPlatform, s.Platform); ok {
 		n.audit(event)
 	}
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -76,8 +76,8 @@
 // checkVersion compares the call's version with the node's own; if the call's is
 // newer, noteCallVersion has already started a pull. The call is refused only if
 // this node's older version lacks its contract, route or grant. If it has them,
-// they applied to the customer a moment ago, and refusing every call while a
-// version spreads would refuse calls that can be served.
+// they applied to the customer a moment ago and the call can be served;
+// otherwise every call would be refused while a version spreads.
 func (n *Node) checkVersion(call *port.Call) *port.Refusal {
 	current := n.current.Load()
 	if !call.Version.NewerThan(current.Version()) {
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -16,8 +16,8 @@
 const maxProbes = 2
 
 // canProbe reports whether the next offer may be a probe. A body that isn't
-// buffered is never sent on a probe: a busy target may read a part of it, and
-// then it can't be sent again.
+// buffered is never sent on a probe: a busy target may read a part of the body,
+// which then can't be sent again.
 func (f *forwarder) canProbe() bool { return len(f.probed) < maxProbes && f.body.IsBuffered() }
 
 // chooseProbe returns the target of the next offer, and whether it is a probe.
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -17,8 +17,8 @@
 	// read of the platform; it doubles up to maxReadBackoff.
 	minReadBackoff = time.Second
 	maxReadBackoff = 10 * time.Second
-	// readerCheckInterval is how often a node that is no reader checks whether
-	// it has become one.
+	// readerCheckInterval is how often a node that isn't a reader checks whether it
+	// has become one.
 	readerCheckInterval = time.Second
 )
 
@@ -66,7 +66,7 @@
 	return draw(n.random)
 }
 
-// probeDelay returns the time between two reads of a node that is no reader.
+// probeDelay returns the time between two reads of a node that isn't a reader.
 func (n *Node) probeDelay() time.Duration {
 	live := len(liveVMs(n.view.Load()))
 	return n.randomDuration(func(r *rand.Rand) time.Duration { return n.config.ReadPacing.ProbeDelay(r, live) })
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -46,7 +46,8 @@
 }
 
 // copyBody copies the body as it arrives. Each write must finish within the
-// stall timeout, or a caller that stops reading would hold a slot for ever.
+// stall timeout, otherwise a caller that stops reading would hold a slot
+// forever.
 func copyBody(w http.ResponseWriter, control *http.ResponseController, response *port.Response, timeout time.Duration) error {
 	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
--- a/internal/node/resume.go
+++ b/internal/node/resume.go
@@ -12,7 +12,7 @@
 )
 
 // maxResumes bounds how often one body is resumed. Each time, a target sends
-// only the rest of the body, never all of it.
+// only the rest of the body.
 const maxResumes = 4
 
 // resumingBody is the body of a response. If it breaks, it is resumed from
@@ -75,8 +75,8 @@
 	if b.resumes++; b.resumes > maxResumes {
 		return errors.Errorf("body broke %d times", b.resumes)
 	}
-	// The slot of the broken attempt is released first, or the same request
-	// would hold two.
+	// The slot of the broken attempt is released first, otherwise the same
+	// request would hold two slots.
 	b.current.release()
 	b.current = &openResponse{response: &port.Response{Body: http.NoBody}, release: func() {}}
 	next := b.forwarder.continuation(b.plan, b.offset, b.resumes)
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -107,8 +107,8 @@
 
 // checkRunnable returns a refusal if the request must not be sent to the local target, or
 // nil. If the entry node expects another target and its revision isn't older than this
-// node's, it may be right; the request is sent, and the target itself checks the expected
-// id.
+// node's, the entry node may be right: the request is sent, and the target itself checks
+// the expected id.
 func (p *Proxy) checkRunnable(meta *attemptMeta, r *exchange.Request) *port.Refusal {
 	if p.localStopped.Load() || p.stopping.Load() && p.ports.Clock.Now().Add(meta.budget).After(*p.stopDeadline.Load()) {
 		return port.Refuse(port.ReasonStopping, retryStopping, "the target's node is stopping")
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -84,7 +84,7 @@
 	delete(p.transferReady, transfer)
 	p.mu.Unlock()
 	if !cancelled {
-		// The response could be sent at the same time as the other node disconnected.
+		// The transfer was allowed to start just as the other node disconnected.
 		p.endTransfer()
 	}
 	return ctx.Err()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -38,7 +38,7 @@
 	storeLog    logTail
 	client      *http.Client
 
-	// closing is set when the fleet is shut down.
+	// closing is set when the fleet shuts down.
 	closing atomic.Bool
 	// recorder holds the records of all callers.
 	recorder *recorder
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -61,7 +61,7 @@
 }
 
 // injectFault injects one fault and records it. The recorded times enclose the
-// fault: they are taken just before its begin and just after its end.
+// fault: they are taken just before it begins and just after it ends.
 func (f *fleet) injectFault(ctx context.Context, fault Fault) error {
 	event := Event{Kind: fault.Kind, VM: fault.VM, Begin: target.SinceBoot(), Side: fault.Side}
 	err := f.applyFault(ctx, fault, &event)
--- a/internal/soak/layout.go
+++ b/internal/soak/layout.go
@@ -9,11 +9,11 @@
 
 // Bounds of the promises, as the users' smaller sites configure them.
 const (
-	// drainBound is the time after the store has recorded that a target leaves in
-	// which requests may still reach it.
+	// drainBound is how long requests may still reach a target after the store has
+	// recorded that it leaves.
 	drainBound = 2500 * time.Millisecond
-	// applyBound is the time after the store has accepted a version in which
-	// requests may still be handled with an older one.
+	// applyBound is how long requests may still be handled with an older version
+	// after the store has accepted a newer one.
 	applyBound = 2500 * time.Millisecond
 	// stabilityWindow is the time without disturbance after which the bounds apply to
 	// a node.
