--- a/internal/adapter/peertls/peertls.go
+++ b/internal/adapter/peertls/peertls.go
@@ -60,13 +60,13 @@
 func read(files Files) (tls.Certificate, *x509.CertPool, error) {
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
-		return tls.Certificate{}, nil, errors.Wrap(err, "load peer certificate")
+		return tls.Certificate{}, nil, errors.Wrap(err, "peer certificate")
 	}
 	pool := x509.NewCertPool()
 	for _, name := range files.Authorities {
 		raw, err := os.ReadFile(name)
 		if err != nil {
-			return tls.Certificate{}, nil, errors.Wrap(err, "read peer authority")
+			return tls.Certificate{}, nil, errors.Wrap(err, "peer authority")
 		}
 		if !pool.AppendCertsFromPEM(raw) {
 			return tls.Certificate{}, nil, errors.Errorf("peer authority file %s contains no certificate", name)
--- a/internal/soak/cli/standins.go
+++ b/internal/soak/cli/standins.go
@@ -79,7 +79,7 @@
 	t := usertarget.New(o.registration.Instance, o.registration.Service, targetSlots, targetWork, ledger, crash)
 	listener, err := net.Listen("tcp", o.listen)
 	if err != nil {
-		return errors.Wrap(err, "target listener")
+		return errors.Wrap(err, "target")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -91,7 +91,7 @@
 	go o.registration.Run(registered, startTime)
 	select {
 	case err := <-failed:
-		return errors.Wrap(err, "serve target")
+		return errors.Wrap(err, "target")
 	case <-ctx.Done():
 	}
 	wait.Sleep(context.Background(), shutdownDelay)
