--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -32,7 +32,7 @@
 
 // Timeouts and intervals of the node process.
 const (
-	// linger is how long a stopping node goes on serving callers. It is longer
+	// linger is how long a stopping node continues to serve callers. It is longer
 	// than the usual pause of a caller between two requests, and short compared
 	// with the time allowed for a planned stop.
 	linger = time.Second
@@ -217,7 +217,7 @@
 	d.log.Info().Msg("stopping")
 	d.node.Stop(context.Background())
 	if err := d.callers.StopAccepting(); err != nil {
-		d.log.Warn().Err(err).Msg("close callers listener")
+		d.log.Warn().Err(err).Msg("failed to close callers listener")
 	}
 	d.awaitIdleCallers()
 	if err := d.callers.CloseIdle(); err != nil {
