--- a/internal/adapter/callerhttp/idle_test.go
+++ b/internal/adapter/callerhttp/idle_test.go
@@ -27,7 +27,7 @@
 // gets the response that it did not run, and does not run. A request that arrived just
 // before gets its complete response, and so does the first request on a connection that
 // was opened before the close.
-func TestRequestThatCrossesTheEnd(t *testing.T) {
+func TestIdleCloseLosesNoRequests(t *testing.T) {
 	entry := &countingEntry{}
 	server := NewServer(entry, Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,7 +97,7 @@
 // yet. Callers have connected and sent requests to a busy node when it is stopped. If the
 // listener were closed immediately, their connections would be reset, and they could not
 // know whether the requests ran. Each must get a response.
-func TestStopTakesTheCallersThatHaveConnected(t *testing.T) {
+func TestStopServesUnacceptedConnections(t *testing.T) {
 	entry := &countingEntry{}
 	server := NewServer(entry, Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/adapter/callhttp/chain_test.go
+++ b/internal/adapter/callhttp/chain_test.go
@@ -10,7 +10,7 @@
 	"tamarackquay/internal/admission"
 )
 
-func TestChainSurvivesTheHeader(t *testing.T) {
+func TestChainRoundTrip(t *testing.T) {
 	header := http.Header{}
 	SetChain(header, nil)
 	assert.Equal(t, len(header), 0)
@@ -21,7 +21,7 @@
 
 // Guards against a header that grows from hop to hop: a caller sends a chain of a
 // thousand services, and it must be cut to the maximum depth.
-func TestChainOfACallerIsBounded(t *testing.T) {
+func TestCallerChainIsBounded(t *testing.T) {
 	header := http.Header{HeaderChain: {strings.Repeat("tally,", 1000)}}
 	assert.Equal(t, len(ParseChain(header)), admission.MaxDepth)
 }
--- a/internal/adapter/callhttp/roundtrip_test.go
+++ b/internal/adapter/callhttp/roundtrip_test.go
@@ -81,7 +81,7 @@
 // reused connection and crashes before it responds. net/http alone sends the request
 // again, because its method or header makes it look replayable. The guard allows only
 // one write.
-func TestDyingConnectionRunsOnce(t *testing.T) {
+func TestBrokenConnectionIsNotReplayed(t *testing.T) {
 	cases := []struct{ desc, method, header string }{
 		{"body-less POST with a key", http.MethodPost, "Idempotency-Key"},
 		{"body-less POST with the older key", http.MethodPost, "X-Idempotency-Key"},
@@ -156,7 +156,7 @@
 // Guards against writes that could run a request late or twice: a connection can be
 // written to only by its assigned attempt, only if the attempt starts before the
 // deadline and has not ended, and an attempt can write to only one connection.
-func TestGuardHoldsBackWrites(t *testing.T) {
+func TestGuardRejectsInvalidWrites(t *testing.T) {
 	pipe := func() *Conn {
 		near, far := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, far) }()
@@ -202,7 +202,7 @@
 
 // Guards against a request that is started after its deadline because the process was
 // paused between a check and the write.
-func TestPausedWriteIsHeldBack(t *testing.T) {
+func TestWriteAfterPauseIsRejected(t *testing.T) {
 	const deadline, pause = time.Second, 9 * time.Second
 	for _, test := range []struct {
 		desc                   string
--- a/internal/adapter/callhttp/startby_test.go
+++ b/internal/adapter/callhttp/startby_test.go
@@ -14,7 +14,7 @@
 // Guards against a target that starts a request after its deadline because its node was
 // paused before it sent the request. HeaderStartBy uses a clock that both processes
 // share, so the target can detect this.
-func TestTargetStartsNothingAfterItsTime(t *testing.T) {
+func TestTargetRejectsExpiredRequests(t *testing.T) {
 	for _, test := range []struct {
 		desc     string
 		deadline time.Duration
--- a/internal/adapter/exchange/exchange_test.go
+++ b/internal/adapter/exchange/exchange_test.go
@@ -89,7 +89,7 @@
 // Guards against a caller that gets the response of another. A target sends a second
 // response to a request, which arrives when the response to the next request on the
 // connection is expected. It must be skipped, and the connection stays in use.
-func TestLateSecondAnswerIsReadPast(t *testing.T) {
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	address, accepted := server(t, func(c net.Conn, r *http.Request, number int) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if number > 0 {
@@ -160,7 +160,7 @@
 
 // Guards against a wrong outcome of a failed request: one that could not be written did
 // not run, and one that was written may have run.
-func TestFailureTellsWhetherBytesWereSent(t *testing.T) {
+func TestFailureReportsWhetherRequestWasSent(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	_ = closed.Close()
@@ -184,7 +184,7 @@
 // Guards against an incomplete response that is taken for a complete one. A response
 // without a length ends when its connection is closed; if the connection is reset, the
 // response is incomplete.
-func TestUnframedAnswerCutByAReset(t *testing.T) {
+func TestResetMakesUnframedResponseIncomplete(t *testing.T) {
 	for _, test := range []struct {
 		desc     string
 		linger   int
--- a/internal/adapter/feedws/feedws_test.go
+++ b/internal/adapter/feedws/feedws_test.go
@@ -33,7 +33,7 @@
 	return made
 }
 
-func TestUpdatesComeThrough(t *testing.T) {
+func TestUpdateRoundTrip(t *testing.T) {
 	targets := []mesh.Target{{ID: "t", Service: "s", Address: "10.0.0.1:1", State: mesh.Ready, Revision: 7}}
 	delta := mesh.Diff(nil, &mesh.Config{Version: 3, Routes: makeRoutes(2), Limits: mesh.Limits{HeaderBytes: 5}})
 	for _, test := range []struct {
@@ -77,7 +77,7 @@
 	assert.Equal(t, len(e.cache), maxCachedDeltas)
 }
 
-func TestBrokenMessagesAreRefused(t *testing.T) {
+func TestInvalidMessagesAreRefused(t *testing.T) {
 	bomb, err := compress(&mesh.ConfigDelta{Dropped: []string{strings.Repeat("x", maxUpdate)}})
 	assert.NilError(t, err)
 	for _, test := range []struct {
@@ -155,7 +155,7 @@
 
 // Guards against an idle timeout during a large update: on a congested link its transfer
 // takes longer than idleTimeout. Each received byte must reset the timeout.
-func TestSlowMessageIsNoSilence(t *testing.T) {
+func TestSlowMessageResetsIdleTimeout(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	sent := 0
--- a/internal/adapter/feedws/notices_test.go
+++ b/internal/adapter/feedws/notices_test.go
@@ -26,7 +26,7 @@
 
 // Guards against notices that are sent in one direction of a feed only: a node without
 // followers must also be able to report crashes to the node that it follows.
-func TestNoticesGoBothWays(t *testing.T) {
+func TestNoticesFlowInBothDirections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	serverLedger, clientLedger := quarantine.NewSharedLedger(wallClock{}), quarantine.NewSharedLedger(wallClock{})
@@ -61,7 +61,7 @@
 
 // Guards against notices that are not forwarded from one follower to another one with the
 // same address, as seen behind a relay.
-func TestNoticesPassBetweenFollowers(t *testing.T) {
+func TestNoticesAreForwardedBetweenFollowers(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	go http.Serve(listener, NewHandler(singleUpdateSource{&mesh.Update{}}, quarantine.NewSharedLedger(wallClock{}), func(int) {}))
@@ -86,7 +86,7 @@
 
 // Guards against keeping a feed open after the follower sent a message that can't be decoded,
 // contains no notice, or is too large.
-func TestBrokenNoticeEndsTheFeed(t *testing.T) {
+func TestInvalidNoticeClosesFeed(t *testing.T) {
 	for _, test := range []struct {
 		desc string
 		raw  []byte
--- a/internal/adapter/logout/logout_test.go
+++ b/internal/adapter/logout/logout_test.go
@@ -23,7 +23,7 @@
 
 // Guards against blocking callers of the logger while the reader of the output doesn't read. Lines
 // that don't fit into the buffer must be dropped and counted.
-func TestBlockedReaderDelaysNoLogging(t *testing.T) {
+func TestBlockedReaderDoesNotBlockLogging(t *testing.T) {
 	output := &blockedWriter{release: make(chan struct{})}
 	w := New(output)
 	logger := log.Logger{Writer: w}
--- a/internal/adapter/operatorhttp/operatorhttp_test.go
+++ b/internal/adapter/operatorhttp/operatorhttp_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPages(t *testing.T) {
+func TestOperatorEndpoints(t *testing.T) {
 	meter := metrics.New()
 	meter.Count(port.MetricRefused, "limit", 2)
 	handler := NewServer(fixedNode{}, emptyTrail{}, meter).Handler
--- a/internal/adapter/peerforward/peerforward_test.go
+++ b/internal/adapter/peerforward/peerforward_test.go
@@ -75,7 +75,7 @@
 
 // Guards against changed or mixed-up outcomes: a refusal must arrive unchanged at the
 // entry node, and a response to another request must result in an unknown outcome.
-func TestOutcomesOverPeers(t *testing.T) {
+func TestOutcomesAreForwardedUnchanged(t *testing.T) {
 	peer := identity(t, authority(t))
 	refusing := NewHandler(ownerFunc(func(w http.ResponseWriter, _ *http.Request, call *port.Call) {
 		assert.Check(t, call.Target == "/returns?a=1" && call.Header.Get("X-A") == "1")
@@ -98,7 +98,7 @@
 // Guards against sending a request to a process that is not an authenticated peer but now
 // has a peer's old address. No byte of the request may reach it, so that the request is
 // proven not to have run.
-func TestStrangerGetsNothing(t *testing.T) {
+func TestUnknownPeerReceivesNothing(t *testing.T) {
 	unknownPeer := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("an unknown peer received the call") })
 	_, err := forward(t, identity(t, authority(t)), identity(t, authority(t)), unknownPeer, "")
 	var refusal *port.Refusal
--- a/internal/adapter/peerws/peerws_test.go
+++ b/internal/adapter/peerws/peerws_test.go
@@ -88,7 +88,7 @@
 
 // Guards against a peer whose invalid messages disturb others. Its connection must be closed
 // with a status that shows its operator the reason, and other peers must still be served.
-func TestBrokenPeersAreDisconnected(t *testing.T) {
+func TestPeersWithInvalidMessagesAreDisconnected(t *testing.T) {
 	valid, err := encode(heartbeatFrom("vm-1"), 1, 0)
 	assert.NilError(t, err)
 	otherSender, err := encode(port.Gossip{From: "vm-9"}, 0, 0)
@@ -118,7 +118,7 @@
 
 // Guards against accepting a response that names another sender than the VM in the peer's
 // certificate.
-func TestResponseInAnotherNameIsDropped(t *testing.T) {
+func TestResponseFromWrongSenderIsDropped(t *testing.T) {
 	f := newFleet(t)
 	to := f.serve("vm-2", respondAs("vm-7"))
 	_, err := f.client("vm-1").Request(t.Context(), to, heartbeatFrom("vm-1"))
--- a/internal/adapter/settings/settings_test.go
+++ b/internal/adapter/settings/settings_test.go
@@ -82,7 +82,7 @@
 	assert.Equal(t, len(s.Warnings), 0, "%v", s.Warnings)
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	for _, test := range []struct {
 		desc     string
 		from, to string
@@ -109,7 +109,7 @@
 
 // Guards against detecting an unreadable file only after the start: the daemon would fail
 // under its supervisor, where the operator may not notice it.
-func TestLoadFindsUnreadableFiles(t *testing.T) {
+func TestLoadReportsUnreadableFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "node.toml")
 	assert.NilError(t, os.WriteFile(file, []byte(strings.ReplaceAll(validSettings, `"c"`, `"`+file+`"`)), 0o600))
--- a/internal/adapter/targethttp/targethttp_test.go
+++ b/internal/adapter/targethttp/targethttp_test.go
@@ -29,7 +29,7 @@
 // Guards against a target that impersonates a node, and against wrong outcomes: a request
 // counts as refused only if the target reports exactly that it did not run, and a response
 // to another request makes the outcome unknown.
-func TestWhatTargetsSay(t *testing.T) {
+func TestTargetResponseOutcomes(t *testing.T) {
 	cases := []struct {
 		desc    string
 		header  http.Header
@@ -76,7 +76,7 @@
 // Guards against an incomplete response that looks complete. A target responds without a
 // length and is killed in the middle. The end of its connection looks like the end of the
 // body, so such a response must never be forwarded.
-func TestAnswerThatEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthIsNotForwarded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
--- a/internal/admission/estimate_test.go
+++ b/internal/admission/estimate_test.go
@@ -40,7 +40,7 @@
 
 // One request hangs for an hour among thousands that take 50 ms. Its hold time must not
 // raise the estimate so far that requests are refused which would start in a moment.
-func TestOneHungRequestDoesNotSpoilTheEstimate(t *testing.T) {
+func TestHungRequestDoesNotSkewEstimate(t *testing.T) {
 	f := newFixture(t, 2, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
 	hung := f.admit(1, Request{Customer: "a"})[0]
 	id := f.admit(1, Request{Customer: "a"})[0]
@@ -58,7 +58,7 @@
 // each slot that becomes free, no matter whose, so its sixth request starts after six of
 // twelve requests have ended. It must not be refused as if only its own six slots
 // counted.
-func TestReturningCustomerIsJudgedByAllSlots(t *testing.T) {
+func TestWaitEstimateCountsBorrowedSlots(t *testing.T) {
 	f := newFixture(t, 12, equalShares())
 	for range 50 {
 		id := f.admit(1, Request{Customer: "a"})[0]
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -307,7 +307,7 @@
 // the next free slots, no slot is idle while a request could use it, limits hold, the
 // order within a contract holds, no request starts past its deadline, and each request
 // ends exactly once.
-func TestPromisesHoldForRandomContracts(t *testing.T) {
+func TestGuaranteesHoldForRandomContracts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -69,7 +69,7 @@
 // A customer that was idle sends requests while another has borrowed all its slots and
 // has more requests waiting. The customer must get every slot that becomes free until it
 // has its guarantee, though its requests came last.
-func TestLentSlotReturnsWithNextFreeSlot(t *testing.T) {
+func TestBorrowedSlotReturnsWithNextFreeSlot(t *testing.T) {
 	f := newFixture(t, 4, equalShares())
 	borrowed := f.admit(4, Request{Customer: "a"})
 	f.enqueue(4, Request{Customer: "a"})
@@ -107,7 +107,7 @@
 // nobody else needs them. Then another customer claims its part. From then on each must
 // get its half of the shared slot: use of idle slots must not count against a customer
 // later.
-func TestUseOfIdleSlotsIsNotHeldAgainstACustomer(t *testing.T) {
+func TestUseOfIdleSlotsIsNotPenalized(t *testing.T) {
 	f := newFixture(t, 3, equalShares())
 	running := f.admit(3, Request{Customer: "a"})
 	customer := map[string]string{}
@@ -146,7 +146,7 @@
 
 // A customer at its limit must wait although slots are free, and further requests must
 // be refused because of the limit.
-func TestLimitIsNeverPassed(t *testing.T) {
+func TestLimitIsNeverExceeded(t *testing.T) {
 	f := newFixture(t, 4, map[string]Share{"a": {Guaranteed: 0.25, Limit: 0.5}})
 	first := f.admit(2, Request{Customer: "a"})
 	waiting := f.enqueue(4, Request{Customer: "a"})
@@ -174,7 +174,7 @@
 // New chains and inner calls of older chains compete for one overloaded target. Inner
 // calls must be served first, and when the queue is full, a new chain must be dropped:
 // work has already been spent on the chains of inner calls.
-func TestDeeperCallsGoFirstAndOverloadIsRefusedAtTheEdge(t *testing.T) {
+func TestInnerCallsPrecedeNewChains(t *testing.T) {
 	f := newFixture(t, 1, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
 	running := f.admit(1, Request{Customer: "a"})
 	edge := f.enqueue(4, Request{Customer: "a"})
@@ -200,7 +200,7 @@
 // Chains return to a service of which they hold a slot. New chains must not take the
 // last slot: if outer calls held all slots, no inner call could run and no request would
 // end before its deadline. Once no such chains arrive anymore, no slot is reserved.
-func TestCycleFindsAReservedSlot(t *testing.T) {
+func TestCyclicChainGetsReservedSlot(t *testing.T) {
 	f := newFixture(t, 3, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
 	outer := f.admit(1, Request{Customer: "a"})
 	inner := f.admit(1, Request{Customer: "a", Depth: 1, Revisits: 1})
@@ -217,7 +217,7 @@
 // Archives may borrow only a bounded part of the slots guaranteed to others, so that
 // short requests of a customer that resumes get the rest at once. Slots that are
 // guaranteed to nobody can be borrowed by archives without a bound.
-func TestLongRequestsBorrowABoundedPart(t *testing.T) {
+func TestLongRequestsBorrowABoundedFraction(t *testing.T) {
 	f := newFixture(t, 8, nil)
 	f.q.Configure(f.now, Terms{Slots: 8, QueuePerSlot: 4, LongBorrowLimit: 0.25, Shares: map[string]Share{
 		"a": {Guaranteed: 0.25, Limit: 1}, "b": {Guaranteed: 0.5, Limit: 1},
@@ -238,7 +238,7 @@
 // The target loses half its slots while all are in use and more requests wait. Running
 // requests must not be cut, no request may start until the excess has ended, and waiting
 // requests must be neither lost nor duplicated.
-func TestHalfTheSlotsLost(t *testing.T) {
+func TestSlotReductionKeepsRunningRequests(t *testing.T) {
 	f := newFixture(t, 4, equalShares())
 	running := append(f.admit(2, Request{Customer: "a"}), f.admit(2, Request{Customer: "b"})...)
 	waiting := append(f.enqueue(2, Request{Customer: "a"}), f.enqueue(2, Request{Customer: "b"})...)
@@ -271,7 +271,7 @@
 // The process is suspended for a minute with a full queue, and the callers of most
 // waiting requests have disconnected by the time it resumes. None of these requests may
 // start; the slot must go to the one request that is still within its deadline.
-func TestWakingQueueStartsNoDeadRequest(t *testing.T) {
+func TestResumedQueueStartsNoExpiredRequest(t *testing.T) {
 	f := newFixture(t, 1, equalShares())
 	id := f.admit(1, Request{Customer: "a"})[0]
 	f.enqueue(4, Request{Customer: "a", Deadline: f.now.Add(2 * time.Second)})
@@ -310,7 +310,7 @@
 // The target reports free slots but sheds, since it has lost half its capacity. The node
 // must detect this from the sheds alone, stop sending more than the target accepts, and
 // restore one slot for each second without a shed.
-func TestShedsLowerTheSlotsForAWhile(t *testing.T) {
+func TestShedsReduceSlotsTemporarily(t *testing.T) {
 	f := newFixture(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
 	ids := f.admit(4, Request{Customer: "a"})
 	for _, id := range ids[2:] {
@@ -357,7 +357,7 @@
 // A caller claims a chain that returns to the service three times, but its inner calls
 // never come. Slots reserved for them must be withheld only from shallower calls of the
 // same customer, not from other customers.
-func TestFalseChainCostsOnlyItsCustomer(t *testing.T) {
+func TestFalseChainDelaysOnlyItsCustomer(t *testing.T) {
 	f := newFixture(t, 4, map[string]Share{"honest": {Guaranteed: 0.5, Limit: 1}, "false": {Guaranteed: 0.5, Limit: 1}})
 	claim := f.admit(1, Request{Customer: "false", Depth: 3, Revisits: 3})
 	f.release(claim[0])
--- a/internal/contract/check_test.go
+++ b/internal/contract/check_test.go
@@ -33,7 +33,7 @@
 	return list
 }
 
-func TestCheckFinds(t *testing.T) {
+func TestCheckReportsInvalidSets(t *testing.T) {
 	half, nan := 0.5, math.NaN()
 	cases := []struct {
 		desc   string
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -90,7 +90,7 @@
 
 // Guards against a node that keeps its old version because a requested manifest
 // neither arrives nor fails. After the timeout it must ask another source.
-func TestLostManifestIsAskedForElsewhere(t *testing.T) {
+func TestLostManifestIsRequestedElsewhere(t *testing.T) {
 	s := newState()
 	version := snapshot.Version{Epoch: 1, Revision: 2}
 	first := s.VersionReported(start, claimFrom(1, version, SameDomain))
@@ -103,7 +103,7 @@
 
 // Guards against a fetch that stops because a source no longer answers requests
 // for parts. After the timeout the node must ask another source.
-func TestLostPartsAreAskedForElsewhere(t *testing.T) {
+func TestLostPartsAreRequestedElsewhere(t *testing.T) {
 	s := newState()
 	publication := build(t, 1, 1, snapshot.Hash{}, "tally")
 	for i := range 2 {
@@ -122,7 +122,7 @@
 // own domain is about to provide the same bytes without the cost of the
 // cross-region link. An announcement from another region waits a shorter time,
 // for the region's own reader; one from the same region does not wait.
-func TestReportFromAnotherRegionWaits(t *testing.T) {
+func TestCrossRegionReportIsDelayed(t *testing.T) {
 	s := newState()
 	deliver(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
 	far := claimFrom(1, snapshot.Version{Epoch: 1, Revision: 2}, OtherRegion)
@@ -170,7 +170,7 @@
 // Guards against storing unrequested content: a peer answers a request for
 // parts with other content, which matches its own hash. It must be dropped, and
 // another source must be asked.
-func TestPartsThatWereNotAskedForAreNotKept(t *testing.T) {
+func TestUnrequestedPartsAreDropped(t *testing.T) {
 	s := newState()
 	publication := build(t, 1, 1, snapshot.Hash{}, "tally")
 	s.VersionReported(start, Claim{From: "vm-1", Version: publication.Manifest.Version, Root: publication.Manifest.Root})
@@ -186,7 +186,7 @@
 // Guards against a fleet that stays split between two contents published under
 // one version number. All nodes must converge on the same content, whichever
 // they received first, and the conflict must be reported once.
-func TestTwoContentsUnderOneVersion(t *testing.T) {
+func TestConflictingVersionContentsConverge(t *testing.T) {
 	first, second := build(t, 1, 1, snapshot.Hash{}, "tally"), build(t, 1, 2, snapshot.Hash{}, "tally")
 	var settled []snapshot.Hash
 	for _, order := range [][]*snapshot.Publication{{first, second}, {second, first}} {
@@ -203,7 +203,7 @@
 // Guards against an unreported lost update. An operator builds version 3 from
 // version 1 while version 2 is applied, so the change of version 2 is lost. The
 // node cannot resolve this but must report it.
-func TestLostUpdateIsTold(t *testing.T) {
+func TestLostUpdateIsReported(t *testing.T) {
 	s := newState()
 	one := build(t, 1, 1, snapshot.Hash{}, "tally")
 	two := build(t, 2, 2, one.Manifest.Root, "tally")
@@ -218,7 +218,7 @@
 // never serves the parts of version 2, as when a manifest is published before
 // its parts. This must be reported, version 2 must not be applied, and an
 // available lower version of a peer must still be fetched.
-func TestIncompleteVersionDoesNotBarOthers(t *testing.T) {
+func TestIncompleteVersionDoesNotBlockOthers(t *testing.T) {
 	s := newState()
 	incomplete, complete := build(t, 2, 2, snapshot.Hash{}, "tally"), build(t, 1, 1, snapshot.Hash{}, "tally")
 	effects := s.ManifestReceived(start, Platform, incomplete.Manifest)
@@ -244,7 +244,7 @@
 // while a stale platform serves version 1 and the peers have version 2. It must
 // wait for reports from its peers before it is ready. A false version number, or
 // peers that have left, may delay it for ReadyTimeout only.
-func TestFreshProcessHearsItsPeersBeforeItServes(t *testing.T) {
+func TestNewProcessAwaitsPeersBeforeReady(t *testing.T) {
 	s := newState()
 	s.SetPeers(5, 0)
 	deliver(s, start, build(t, 1, 1, snapshot.Hash{}, "tally"))
@@ -260,7 +260,7 @@
 
 // Guards against a restored platform whose versions are ignored: with a higher
 // epoch, a lower revision must count as newer.
-func TestEpochOfARestoreIsNewer(t *testing.T) {
+func TestHigherEpochIsNewer(t *testing.T) {
 	s := newState()
 	deliver(s, start, build(t, 9, 1, snapshot.Hash{}, "tally"))
 	restored, err := snapshot.Build(testSet(2, "tally"), snapshot.Origin{Version: snapshot.Version{Epoch: 2, Revision: 4}})
@@ -273,7 +273,7 @@
 // Guards against a delayed update after a broken version. The platform failed
 // many times to serve the parts of one version. Applying that backoff to the
 // next version would delay it for up to half a minute.
-func TestNextVersionDoesNotWaitForABrokenOne(t *testing.T) {
+func TestBackoffDoesNotDelayNextVersion(t *testing.T) {
 	s := newState()
 	now := start
 	s.ManifestReceived(now, Platform, build(t, 1, 1, snapshot.Hash{}, "tally").Manifest)
--- a/internal/distribution/place_test.go
+++ b/internal/distribution/place_test.go
@@ -27,7 +27,7 @@
 // in excess. In a fleet of 1,600 nodes one change must reach every node by
 // announcements alone: each region is entered once per path, each node receives
 // a few announcements, and no node sends many.
-func TestAudienceReachesEveryNode(t *testing.T) {
+func TestAnnouncementsReachEveryNode(t *testing.T) {
 	vms := fleetVMs(1600, 13, 4)
 	root := snapshot.HashOf([]byte("version"))
 	config := DefaultConfig()
@@ -117,7 +117,7 @@
 
 // Guards against FirstReaders and ReaderOrder disagreeing on the first reader of a
 // region: nodes of other regions compute only the former.
-func TestFirstReaderIsTheFirstOfTheOrder(t *testing.T) {
+func TestFirstReadersMatchReaderOrder(t *testing.T) {
 	vms := fleetVMs(120, 13, 4)
 	for _, vm := range vms {
 		first := FirstReaders(vm.Region, vms, 3)
--- a/internal/distribution/property_test.go
+++ b/internal/distribution/property_test.go
@@ -17,7 +17,7 @@
 // down, restored and wrong, operators publish concurrently and nodes restart.
 // After each step every node must hold a complete version that is not older than
 // its previous one.
-func TestAnyOrderOfEventsKeepsThePromises(t *testing.T) {
+func TestInvariantsHoldInAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cl := newCluster(t)
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/experiment/admission/experiment_test.go
+++ b/internal/experiment/admission/experiment_test.go
@@ -57,7 +57,7 @@
 // vary from none to twenty times the customer's share. In 99 of 100 cases, inspectors of
 // the same contract must wait less than one lookup takes, and the other customer must
 // get its contract.
-func TestInspectorsAreNotCrowdedOut(t *testing.T) {
+func TestLookupsDoNotStarveInspectors(t *testing.T) {
 	for _, deployment := range deployments {
 		for _, multiple := range []float64{0, 1, 5, 20} {
 			t.Run(fmt.Sprintf("%s at %gx", deployment.Name, multiple), func(t *testing.T) {
@@ -91,7 +91,7 @@
 // All demand of a customer enters in one of three regions while another customer
 // overloads the whole fleet. Guards against a lost guarantee if requests may leave the
 // region. If they may not, the customer must get that region's third only.
-func TestGuaranteeOfOneRegion(t *testing.T) {
+func TestGuaranteeWithDemandInOneRegion(t *testing.T) {
 	t.Parallel()
 	spilling := OneRegion(testConfig(4), CoOperative, PlaceNear)
 	assert.Check(t, spilling.Customers[0].Fulfilled >= 0.99, "fulfilled %s", spilling.fulfilledText())
--- a/internal/experiment/largeanswers/largeanswers_test.go
+++ b/internal/experiment/largeanswers/largeanswers_test.go
@@ -14,7 +14,7 @@
 // against an order of sending that misses deadlines: of the admitted responses, more
 // must be in time if the one with the earliest deadline is sent first than if the first
 // ready one is.
-func TestDeadlineFirstIsInTimeMoreOften(t *testing.T) {
+func TestEarliestDeadlineFirstMissesFewerDeadlines(t *testing.T) {
 	admitted := Archives.Admitted(1)
 	readyFirst, deadlineFirst := Archives.OnTimeFraction(admitted, ReadyFirst), Archives.OnTimeFraction(admitted, DeadlineFirst)
 	t.Logf("in time: %.3f with the first ready response sent first, %.3f with the earliest deadline sent first", readyFirst, deadlineFirst)
@@ -24,7 +24,7 @@
 
 // Guards against needless refusals. At half of the link's rate, hardly any request may
 // be refused, although arrivals are clustered.
-func TestNothingIsRefusedBelowTheLinksRate(t *testing.T) {
+func TestFewRefusalsBelowLinkRate(t *testing.T) {
 	load := Archives
 	load.Demand = 0.5
 	admitted := len(load.Admitted(1))
--- a/internal/follow/bench_test.go
+++ b/internal/follow/bench_test.go
@@ -44,8 +44,8 @@
 	f.mu.Unlock()
 }
 
-// BenchmarkTickAtRest measures one tick of an idle node; there are ten a second.
-func BenchmarkTickAtRest(b *testing.B) {
+// BenchmarkIdleTick measures one tick of an idle node; there are ten a second.
+func BenchmarkIdleTick(b *testing.B) {
 	for _, vms := range []int{14, 86, 295, 1600} {
 		b.Run(fmt.Sprintf("vms-%d", vms), func(b *testing.B) {
 			f := newFleetNode(vms)
@@ -80,7 +80,7 @@
 }
 
 // Guards against work on each tick that grows with the fleet although nothing has changed.
-func TestTickAtRestDoesNotGrowWithTheFleet(t *testing.T) {
+func TestIdleTickCostIsIndependentOfFleetSize(t *testing.T) {
 	allocs := func(vms int) float64 {
 		f := newFleetNode(vms)
 		f.tickOnce()
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -59,7 +59,7 @@
 
 // Guards against changes that become active too late if readers are lost just before, in
 // any combination and in any way.
-func TestChangeIsInForceInTime(t *testing.T) {
+func TestChangeIsActiveWithinBound(t *testing.T) {
 	for _, test := range []struct {
 		desc string
 		lose func(w *world, readers []string)
@@ -107,7 +107,7 @@
 
 // Guards against a missed departure: the platform compacts the history after a watch's
 // position, and a target leaves in the gap. The listing that follows shows the removal.
-func TestDroppedHistoryLosesNoDeparture(t *testing.T) {
+func TestCompactionLosesNoDeparture(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
 		w.failPlatform()
 		time.Sleep(1200 * time.Millisecond)
@@ -126,7 +126,7 @@
 // Guards against dropping live targets after a long platform outage in which leases
 // expired. The platform's list is empty for a moment after its return, until the targets
 // renew.
-func TestLapsedLeasesEmptyNoView(t *testing.T) {
+func TestExpiredLeasesKeepLiveTargets(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
 		w.failPlatform()
 		time.Sleep(8 * time.Second)
@@ -153,7 +153,7 @@
 // Guards against dropping live targets through a node that has received its view from
 // neighbours only and is the first to reach the platform after a long outage. The
 // platform's list is empty for a moment, until the targets renew.
-func TestNodeThatNeverReadDropsNobody(t *testing.T) {
+func TestNodeWithoutOwnReadDropsNoTarget(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
 		const fresh = "a1-0"
 		w.mu.Lock()
@@ -183,7 +183,7 @@
 // Guards against a node that gets no view after a restart during a platform outage. It has
 // no addresses of other nodes until one of them sends it a request; it gets its view from
 // that node.
-func TestRestartWithoutPlatformLearnsFromWhoCalls(t *testing.T) {
+func TestRestartInOutageGetsViewFromRequestingNode(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
 		w.failPlatform()
 		w.mu.Lock()
@@ -202,7 +202,7 @@
 
 // The same, but no node sends it a request: its clients would be refused until the platform
 // is back. The readers of its region announce themselves to it.
-func TestRestartWithoutPlatformIsGreeted(t *testing.T) {
+func TestReadersAnnounceToRestartedNode(t *testing.T) {
 	simulate(t, func(t *testing.T, w *world) {
 		w.failPlatform()
 		for _, id := range []string{w.readers()[0], "b2-1"} {
@@ -219,7 +219,7 @@
 // failed many times. The platform is back, the readers update the others and are stopped
 // just before a change. The others must fail over at once: their pauses, which had grown to
 // seconds, ended with the updates.
-func TestPausesEndWithTheOutage(t *testing.T) {
+func TestBackoffEndsWithOutage(t *testing.T) {
 	for outage := 6 * time.Second; outage <= 12*time.Second; outage += 500 * time.Millisecond {
 		t.Run(outage.String(), func(t *testing.T) {
 			simulate(t, func(t *testing.T, w *world) {
@@ -245,7 +245,7 @@
 // Guards against missing a shorter or longer propagation bound. All readers are lost, or
 // rejected by the platform, at any moment between two of their reads; the change must be
 // active within nine tenths of the bound.
-func TestChangeIsInForceWithinOtherBounds(t *testing.T) {
+func TestChangeIsActiveWithinOtherBounds(t *testing.T) {
 	for _, within := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
 		for _, test := range readerLosses {
 			t.Run(within.String()+" "+test.desc, func(t *testing.T) {
--- a/internal/follow/large_test.go
+++ b/internal/follow/large_test.go
@@ -57,7 +57,7 @@
 
 // Guards against a change that takes longer the more nodes follow a reader over a slow
 // link, and against departures that are queued behind it.
-func TestLargeFleetLearnsSoon(t *testing.T) {
+func TestLargeFleetAppliesChangeInTime(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.linkRate = smallLink
@@ -78,7 +78,7 @@
 
 // Guards against a departure that is queued behind a large configuration if callers leave
 // only a tenth of the links' capacity.
-func TestDepartureGoesBeforeALargeChange(t *testing.T) {
+func TestDepartureIsSentBeforeLargeChange(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.linkRate = smallLink / 10
@@ -96,7 +96,7 @@
 // Guards against nodes that treat a slow transfer of a configuration as the loss of its
 // sender. They would also follow the readers, which adds load to their saturated links, and
 // read the platform themselves.
-func TestLargeChangeOnFullLinksMovesNobody(t *testing.T) {
+func TestLargeChangeOnFullLinksCausesNoFailover(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.linkRate = smallLink / 10
@@ -114,7 +114,7 @@
 }
 
 // Guards against heartbeats and reads in steady state that grow with the fleet.
-func TestLargeFleetAtRest(t *testing.T) {
+func TestIdleTrafficOfLargeFleetIsBounded(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		time.Sleep(10 * time.Second)
 		w.takeReads()
@@ -131,7 +131,7 @@
 
 // Guards against nodes that learn of a departure too late because the nodes between them
 // and the platform are lost along with the readers.
-func TestLargeFleetLearnsThoughManyAreLost(t *testing.T) {
+func TestDeparturePropagatesDespiteNodeLoss(t *testing.T) {
 	for _, test := range []struct {
 		desc        string
 		part        float64
@@ -177,7 +177,7 @@
 // Guards against a full listing by each node that fails over after the platform has
 // compacted the changes since the node's own last read. The node's view is recent enough to
 // watch from.
-func TestSteppingInListsNothing(t *testing.T) {
+func TestFailoverNeedsNoListing(t *testing.T) {
 	simulateFleet(t, largeBound, perDomain, func(t *testing.T, w *world) {
 		w.publish(2)
 		time.Sleep(largeBound)
@@ -228,7 +228,7 @@
 
 // Guards against nodes that restart while callers wait and get their view late, through
 // several other nodes that restart as well.
-func TestRestartOfAllIsCurrentAtOnce(t *testing.T) {
+func TestFleetRestartIsCurrentAtOnce(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		const responseDelay = 200 * time.Millisecond
 		w.mu.Lock()
@@ -245,7 +245,7 @@
 
 // Guards against a node that starts from a stale listing and serves removed routes, or
 // sends requests to a departed target.
-func TestStartFromAnOldListing(t *testing.T) {
+func TestStartFromStaleListing(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		w.publish(2)
 		w.remove("a1-7")
@@ -286,7 +286,7 @@
 
 // Guards against a node that doesn't stop in time because it is announcing itself to
 // unreachable nodes, one after another.
-func TestStopEndsGreetings(t *testing.T) {
+func TestStopEndsAnnouncements(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		first := w.firstRanked(1)
 		w.mu.Lock()
@@ -311,7 +311,7 @@
 
 // Guards against an outage in which every node of a large fleet keeps calling the platform,
 // and against detecting its end late because fewer nodes call.
-func TestOutageIsAskedForByFew(t *testing.T) {
+func TestFewNodesCallPlatformInOutage(t *testing.T) {
 	const outage = 8 * time.Second
 	for _, perDomain := range []int{perDomain, largePerDomain} {
 		t.Run(fmt.Sprint(4*perDomain, " VMs"), func(t *testing.T) {
@@ -335,7 +335,7 @@
 
 // Guards against a first start of the whole fleet with one full listing per node, because
 // each node finds no other node listed yet.
-func TestFirstStartReadsLittle(t *testing.T) {
+func TestBootstrapReadsAreBounded(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		// The targets are listed one by one while the nodes start.
 		for id := range w.targets {
--- a/internal/follow/late_test.go
+++ b/internal/follow/late_test.go
@@ -37,7 +37,7 @@
 // expired lease. In a replay, the entry went from "ready" to "gone" in one update with the
 // change, and no read failed near that time. If age alone decides on an outage, the same
 // events keep the target in use for over 3 s here.
-func TestLateAnswerKeepsNoTargetThatLeft(t *testing.T) {
+func TestLateResponseKeepsNoDepartedTarget(t *testing.T) {
 	simulateWithin(t, departureBound, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.responseDelay = 2200 * time.Millisecond
@@ -54,7 +54,7 @@
 
 // Guards against treating updates as fresh that arrive later and later over a saturated
 // link but never stop: no node would fail over, and a departed target would stay in use.
-func TestLateFeedsKeepNoTargetThatLeft(t *testing.T) {
+func TestLateFeedsKeepNoDepartedTarget(t *testing.T) {
 	simulateWithin(t, departureBound, func(t *testing.T, w *world) {
 		const rampUp, maxDelay = 8 * time.Second, 4 * time.Second
 		start := time.Now()
@@ -74,7 +74,7 @@
 // Guards against dating a target's draining by the arrival of a late update: its own node
 // would send it requests for longer than the platform allows. Only the readers read the
 // platform, so that all other nodes learn of the draining from them.
-func TestDrainingCountsFromItsFirstWord(t *testing.T) {
+func TestDrainingIsDatedFromFirstRead(t *testing.T) {
 	const late = 700 * time.Millisecond
 	simulateWithin(t, departureBound, func(t *testing.T, w *world) {
 		readers := w.readers()
@@ -100,7 +100,7 @@
 
 // Guards against requests to a draining target beyond the bound if its own node learned of
 // the draining as late as is allowed, because all readers were lost just before.
-func TestDrainingTargetGetsNoWorkBeyondTheBound(t *testing.T) {
+func TestDrainingTargetGetsNoRequestsBeyondBound(t *testing.T) {
 	for _, within := range []time.Duration{1500 * time.Millisecond, defaultPropagationBound, departureBound, 5 * time.Second} {
 		for _, test := range readerLosses {
 			t.Run(within.String()+" "+test.desc, func(t *testing.T) {
--- a/internal/follow/measure_test.go
+++ b/internal/follow/measure_test.go
@@ -52,8 +52,8 @@
 	return result
 }
 
-// TestMeasureSpread prints how the cost of several fanouts grows with the fleet.
-func TestMeasureSpread(t *testing.T) {
+// TestMeasureFanout prints how the cost of several fanouts grows with the fleet.
+func TestMeasureFanout(t *testing.T) {
 	if os.Getenv("MEASURE") == "" {
 		t.Skip("set MEASURE=1 to measure")
 	}
--- a/internal/follow/notices_test.go
+++ b/internal/follow/notices_test.go
@@ -50,7 +50,7 @@
 
 // Guards against nodes of a large fleet that quarantine a request too late, and against
 // notices that saturate small links.
-func TestLargeFleetLearnsOfCrashes(t *testing.T) {
+func TestLargeFleetQuarantinesInTime(t *testing.T) {
 	simulateFleet(t, largeBound, manyPerDomain, func(t *testing.T, w *world) {
 		w.mu.Lock()
 		w.linkRate = smallLink / 10
@@ -70,7 +70,7 @@
 
 // Guards against a request that keeps crashing targets because the nodes between those that
 // observe the crashes and the others are lost.
-func TestNodesLearnOfCrashesThoughManyAreLost(t *testing.T) {
+func TestCrashNoticesPropagateDespiteNodeLoss(t *testing.T) {
 	for _, test := range []struct {
 		desc        string
 		part        float64
@@ -106,7 +106,7 @@
 }
 
 // Guards against restarted processes that don't receive the notices of earlier crashes.
-func TestRestartedNodesLearnOfCrashes(t *testing.T) {
+func TestRestartedNodesReceiveCrashNotices(t *testing.T) {
 	simulateFleet(t, largeBound, largePerDomain, func(t *testing.T, w *world) {
 		nodes := w.nodesExcept(nil)
 		w.crashThreeTargets(nodes)
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -63,7 +63,7 @@
 // A slot is given to a waiting request whose goroutine runs only after the deadline, as
 // happens if the process is paused in between. The caller has disconnected: the request
 // must not run, and its slot must go to a request whose caller still waits.
-func TestRequestThatWakesPastItsDeadlineDoesNotRun(t *testing.T) {
+func TestRequestResumedPastDeadlineDoesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newFullGate(t)
 		late := newRequest("late", time.Second)
@@ -93,7 +93,7 @@
 
 // A new version withdraws the grant of a customer whose requests wait. They must be
 // refused at once, as not run, and not only at their deadlines.
-func TestWithdrawnGrantAnswersAtOnce(t *testing.T) {
+func TestWithdrawnGrantRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newFullGate(t)
 		waiting := acquireAsync(t.Context(), g, newRequest("waiting", time.Minute))
@@ -130,7 +130,7 @@
 // Many callers arrive, disconnect and reach their deadlines while the number of slots
 // changes. At the end no slot and no waiter may be left over. Run under the race
 // detector, this also shows that the gate is safe for concurrent use.
-func TestGateLeaksNothing(t *testing.T) {
+func TestGateLeaksNoSlotsOrWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(systemClock{}, 1)
 		g.Configure(oneSlot())
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -28,7 +28,7 @@
 // Guards against coordinated omission. The system responds at once, except for a stall
 // of one second. A closed-loop generator, which waits for each response before it sends
 // the next call, would record one slow call of 300; an open-loop one records a hundred.
-func TestStallShowsInFull(t *testing.T) {
+func TestNoCoordinatedOmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		stall := callerFunc(func(context.Context, Call) Outcome {
@@ -53,7 +53,7 @@
 
 // No call gets a response. Guards against calls over the in-flight bound that are sent
 // late or not counted, and against a run that does not end after the timeouts.
-func TestCallsPastTheBoundAreCounted(t *testing.T) {
+func TestCallsOverInFlightBoundAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig()
 		config.InFlight = 3
--- a/internal/membership/domain_test.go
+++ b/internal/membership/domain_test.go
@@ -151,7 +151,7 @@
 
 // Guards against probes to an old address: when the address of an unconfirmed VM
 // changes, it must be taken from the list.
-func TestListMovesUnconfirmedVM(t *testing.T) {
+func TestListUpdatesUnconfirmedVMAddress(t *testing.T) {
 	table := newTestTable()
 	table.ListReceived(testStart, []Record{listedRecord("x", Live), {}})
 	moved := listedRecord("x", Live)
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -54,7 +54,7 @@
 // Guards against a departed VM that takes work again. After each step of a random
 // sequence of list reads, records, departures and restarts, a VM that departed
 // must not be a target until its process has restarted.
-func TestDepartedIsNeverRevivedWithinAStart(t *testing.T) {
+func TestDepartedVMTakesNoWorkUntilRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTestTable()
 		departed := map[string]uint64{}
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -38,7 +38,7 @@
 // Guards against requests to a departed VM: its departure and a heartbeat were in
 // flight at the same time, and the heartbeat, arriving last, made it a target
 // again.
-func TestLateWordDoesNotReviveDeparted(t *testing.T) {
+func TestLateRecordDoesNotRestoreDepartedVM(t *testing.T) {
 	table := newTestTable()
 	table.RecordReceived(testStart, testRecord("x", 5, 7, Departing))
 	table.RecordReceived(testStart, testRecord("x", 5, 9, Live))
@@ -51,7 +51,7 @@
 // Guards against a departed VM that takes work again after ten minutes: the table
 // removed it while an outdated list still named it, and then added it as a new
 // VM.
-func TestListDoesNotReviveForgotten(t *testing.T) {
+func TestStaleListDoesNotRestoreRemovedVM(t *testing.T) {
 	table := newTestTable()
 	table.RecordReceived(testStart, testRecord("x", 5, 7, Departing))
 	now := testStart
@@ -98,7 +98,7 @@
 
 // Guards against a restarted VM that gets no work because an outdated list still
 // shows the departure of its previous process.
-func TestListedDepartureIsOfOneIncarnation(t *testing.T) {
+func TestListedDepartureAppliesToOneIncarnation(t *testing.T) {
 	table := newTestTable()
 	table.RecordReceived(testStart, testRecord("x", 5, 0, Live))
 	table.ListReceived(testStart, []Record{listedRecord("x", Departing)})
@@ -201,7 +201,7 @@
 
 // Guards against requests for a VM that reach its successor: the VM was replaced
 // by one with another id at the same address.
-func TestReplacedAtSameAddress(t *testing.T) {
+func TestReplacedVMAtSameAddress(t *testing.T) {
 	successor := Record{VM: testVM("x"), Incarnation: 8, State: Live}
 	successor.VM.ID = "y"
 	for _, order := range [][]Record{{testRecord("x", 5, 0, Live), successor}, {successor, testRecord("x", 5, 0, Live)}} {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -92,7 +92,7 @@
 // Guards against dropping live targets whose leases expired during a platform outage, so
 // that they are missing from the platform's list after it. They stay in use for the time in
 // which they renew, and are dropped afterwards if they don't.
-func TestLapsedTargetsStayAWhile(t *testing.T) {
+func TestExpiredTargetsGetGracePeriod(t *testing.T) {
 	view := NewView()
 	target := Target{ID: "i", Service: "s", State: Ready, Revision: 5}
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{target}}))
@@ -109,7 +109,7 @@
 // Guards against a grace period that restarts on each node: the removal of an entry is
 // forwarded through two nodes, late. The last node must not use the target for longer than
 // the first.
-func TestGraceRunsFromTheFirstWord(t *testing.T) {
+func TestGracePeriodStartsAtFirstRemoval(t *testing.T) {
 	views := []*View{NewView(), NewView(), NewView()}
 	target := Target{ID: "i", Service: "s", State: Ready, Revision: 5}
 	for _, view := range views {
@@ -135,7 +135,7 @@
 
 // Guards against restoring a departed target if its old entry arrives after its removal
 // because they took different paths.
-func TestCrossedUpdatesReviveNobody(t *testing.T) {
+func TestReorderedUpdatesRestoreNoTarget(t *testing.T) {
 	view := NewView()
 	target := Target{ID: "i", State: Ready, Revision: 5}
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{target}}))
@@ -145,7 +145,7 @@
 }
 
 // Guards against sending a neighbour a change twice, or data that it already holds.
-func TestNeighbourGetsOnlyWhatItLacks(t *testing.T) {
+func TestNeighbourGetsOnlyMissingData(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Config: Diff(nil, config(1, route("a", "h", "/a/"))), Targets: []Target{{ID: "i", State: Ready, Revision: 1}}}))
 	update, position := view.Since(start, Position{})
@@ -164,7 +164,7 @@
 // Guards against requests to old entries after a power loss of a fleet: each address has
 // the entry of the target that runs there now, and an old one whose lease has not expired.
 // A target whose address now belongs to another service must not get requests either.
-func TestOldEntryOfAnAddressTakesNoWork(t *testing.T) {
+func TestStaleAddressEntryGetsNoRequests(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{
 		{ID: "old", Service: "s", Address: "a:1", State: Ready, Revision: 5},
@@ -182,7 +182,7 @@
 // same id, and the "draining" written by the old process reaches the platform after the
 // first write of the new one. The new process continues to get requests; its own later
 // writes count.
-func TestLateWordOfAnEarlierStartIsLeftOut(t *testing.T) {
+func TestLateWriteOfEndedProcessIsIgnored(t *testing.T) {
 	view := NewView()
 	for _, entry := range []Target{
 		{ID: "i", Service: "s", Address: "a:1", State: Ready, Started: 100, Revision: 5},
@@ -199,7 +199,7 @@
 
 // Guards against a late write of an ended process under another id: it reaches the platform
 // after the new process at the same address has registered. Requests go to the new one.
-func TestLateWordOfAnEarlierStartTakesNoAddress(t *testing.T) {
+func TestLateWriteDoesNotTakeOverAddress(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Targets: []Target{
 		{ID: "old", Service: "s", Address: "a:1", State: Ready, Started: 100, Revision: 9},
@@ -212,7 +212,7 @@
 
 // Guards against treating a view that is old because its updates are late as a platform
 // outage. Only a failed read indicates an outage.
-func TestOldViewIsNoOutage(t *testing.T) {
+func TestViewAgeAloneIsNoOutage(t *testing.T) {
 	for _, test := range []struct {
 		desc        string
 		age, failed time.Duration
@@ -240,7 +240,7 @@
 
 // Guards against late requests to a target that had been draining long before a new node
 // first received its entry.
-func TestDrainingIsDated(t *testing.T) {
+func TestDrainingStartTime(t *testing.T) {
 	ready := Target{ID: "i", State: Ready, Revision: 5}
 	draining := Target{ID: "i", State: Draining, Revision: 6}
 	dated := draining
@@ -265,7 +265,7 @@
 
 // Guards against feeds that resend data that a neighbour already holds, and against feeds
 // that omit newer data.
-func TestNeighbourGetsWhatIsNewerThanItHolds(t *testing.T) {
+func TestNeighbourGetsDataNewerThanCheckpoint(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{
 		Config:   Diff(nil, config(1, route("a", "h", "/a/"))),
--- a/internal/mesh/parts_test.go
+++ b/internal/mesh/parts_test.go
@@ -20,7 +20,7 @@
 // Guards against a partially applied configuration, or one assembled from parts of
 // different deltas: several neighbours send the parts of several deltas at the same time,
 // each in order.
-func TestPartsMakeTheWholeOrNothing(t *testing.T) {
+func TestPartsApplyCompletelyOrNotAtAll(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		versions := []*Config{
@@ -59,7 +59,7 @@
 }
 
 // Guards against a departure that is not sent until a large configuration has been sent.
-func TestDepartureGoesBetweenParts(t *testing.T) {
+func TestDepartureIsSentBetweenParts(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{
 		Config: Diff(nil, config(1, manyRoutes(1400, "a")...)), Targets: []Target{{ID: "i", State: Ready, Revision: 3}}, Revision: 3,
@@ -101,7 +101,7 @@
 
 // Guards against a new version that is not sent until the rest of the one it replaces has
 // been sent.
-func TestReplacedConfigurationIsNotSentToItsEnd(t *testing.T) {
+func TestNewVersionInterruptsOldTransfer(t *testing.T) {
 	view := NewView()
 	assert.NilError(t, view.Apply(start, &Update{Config: Diff(nil, config(1, manyRoutes(1400, "a")...))}))
 	_, position := view.Since(start, view.PositionFor(Checkpoint{}))
@@ -126,7 +126,7 @@
 // Guards against a configuration that lacks routes, for which callers get 404: two
 // neighbours hold the routes of one version in different orders, one as listed by the
 // platform and one as assembled from deltas, and each sends some of the parts.
-func TestPartsOfTwoNeighboursFitTogether(t *testing.T) {
+func TestPartsOfTwoNeighboursCombine(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		first := config(1, manyRoutes(600, "a")...)
@@ -154,7 +154,7 @@
 
 // Guards against a view that counts as current without the configuration, because parts
 // were lost or belong to another split.
-func TestMissingPartsBreakTheFeed(t *testing.T) {
+func TestMissingPartsCauseFeedError(t *testing.T) {
 	delta := Diff(nil, config(1, manyRoutes(300, "a")...))
 	parts := delta.Split()
 	assert.Equal(t, len(parts), 3)
--- a/internal/node/cuts_test.go
+++ b/internal/node/cuts_test.go
@@ -136,7 +136,7 @@
 // Connections between entry and owner, and between owner and target, are closed
 // and reset at every stage: handshake, header, body, response. The outcome that
 // the caller gets must agree with the number of runs at the target.
-func TestCutsAtEveryStage(t *testing.T) {
+func TestOutcomesAgreeWithRunsDespiteCuts(t *testing.T) {
 	target := &runCounter{runs: map[string]int{}}
 	upstream := httptest.NewServer(target)
 	defer upstream.Close()
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -33,7 +33,7 @@
 // refuse the others as draining, so that entry nodes use other targets. Once the
 // target accepts work again, its node must do so within the interval between two
 // probes.
-func TestDrainingTargetIsLeftAlone(t *testing.T) {
+func TestDrainingTargetGetsOnlyProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		target := &drainingTarget{draining: true}
 		n := newEntry(t, nil)
--- a/internal/node/member_test.go
+++ b/internal/node/member_test.go
@@ -122,7 +122,7 @@
 // departure to its neighbours, gossip spreads it, and no node may choose the
 // target after 3 seconds, the limit taken for the required "a few seconds". This
 // must also hold if only one neighbour receives the departure.
-func TestPlannedStopLeavesEveryChoice(t *testing.T) {
+func TestStoppingVMIsExcludedEverywhere(t *testing.T) {
 	for _, tt := range []struct {
 		desc string
 		lost bool
@@ -149,7 +149,7 @@
 
 // The platform drains a VM and shows it only on its list, which each node reads
 // infrequently. The first node that reads it must spread the departure by gossip.
-func TestListedDepartureLeavesEveryChoice(t *testing.T) {
+func TestListedDepartureIsExcludedEverywhere(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 48, 6)
@@ -169,7 +169,7 @@
 
 // A killed VM sends no departure. Its neighbours must detect it by failed direct
 // and indirect probes and mark it suspect, so that no node chooses it.
-func TestKilledVMLeavesEveryChoice(t *testing.T) {
+func TestKilledVMIsExcludedEverywhere(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 48, 6)
@@ -184,7 +184,7 @@
 
 // Half of a region is killed at once. The other nodes must detect all the killed
 // VMs and drop no live one.
-func TestHalfOfARegionKilled(t *testing.T) {
+func TestLossOfHalfARegion(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 48, 4)
@@ -212,7 +212,7 @@
 // targets; outside, none of them may be one. After the heal, every node must
 // have all targets again within seconds, although the two sides had no contact
 // for ten minutes.
-func TestDomainCutOffAndHealed(t *testing.T) {
+func TestDomainPartitionHeals(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 16, 4)
@@ -261,7 +261,7 @@
 // A node is frozen for a minute. Meanwhile it became suspect, and another VM
 // departed. After the pause it must not suspect the VMs whose replies it missed
 // nor choose the departed one, and the others must choose it again.
-func TestPausedNodeRefreshesBeforeItJudges(t *testing.T) {
+func TestResumedNodeRefreshesBeforeSuspecting(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 24, 4)
@@ -292,7 +292,7 @@
 
 // All nodes but one restart together, with new incarnations, while the platform
 // is down. They must find each other through the seed node, which kept its table.
-func TestHerdRestartWithoutPlatform(t *testing.T) {
+func TestFleetRestartWithoutPlatform(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 36, 6)
@@ -312,7 +312,7 @@
 // All nodes restart at the same instant with the same random seed. With equal
 // random numbers all would probe the same domain at the same time and none the
 // next one for long, which would then look unreachable although it is not.
-func TestHerdRestartDoesNotProbeInStep(t *testing.T) {
+func TestRestartedNodesSpreadProbes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 65, 13)
@@ -332,7 +332,7 @@
 
 // A VM departs, and a heartbeat that it sent before arrives late and twice. No
 // node may choose the VM again because of it.
-func TestLateHeartbeatDoesNotRevive(t *testing.T) {
+func TestLateHeartbeatDoesNotRestoreDepartedVM(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 16, 4)
@@ -358,7 +358,7 @@
 // The platform's list is wrong for minutes: it names VMs that never ran, omits
 // half of the running ones, and still names one that departed and ended. The
 // targets must follow the records that the VMs sent themselves.
-func TestLyingListChangesNoChoice(t *testing.T) {
+func TestWrongListDoesNotChangeTargets(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 16, 4)
--- a/internal/node/memberchaos_test.go
+++ b/internal/node/memberchaos_test.go
@@ -116,7 +116,7 @@
 // Nodes are killed, started, stopped and paused, and domains cut off, in random
 // order. Seconds after a VM's departure, no node may choose it; and once all
 // failures have ended, all nodes must have the same targets within seconds.
-func TestRandomDisorder(t *testing.T) {
+func TestMembershipConvergesAfterRandomFailures(t *testing.T) {
 	t.Parallel()
 	// These seeds have failed before: in 16 and 19 a departing node did not
 	// receive the departure of another; in 3 and 30 a node departed while its
--- a/internal/node/membercost_test.go
+++ b/internal/node/membercost_test.go
@@ -32,7 +32,7 @@
 // An idle node sends a bounded number of messages and bytes, whatever the size
 // of the fleet: any growth here multiplies by the number of nodes. The bounds are
 // 10 % above the figures in docs/measurements/membership.md.
-func TestCostAtRestIsBounded(t *testing.T) {
+func TestIdleCostIsBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		m := settledMesh(t, 48, 6)
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -55,7 +55,7 @@
 // restarts and reads it. If it served with version 1, its callers would see the
 // configuration go back. Its peers have version 2, so it must not be ready before
 // it has that too.
-func TestStalePlatformAfterNews(t *testing.T) {
+func TestStalePlatformDoesNotRevertVersion(t *testing.T) {
 	testMesh(t, 12, func(t *testing.T, m *mesh) {
 		first := m.build(m.version, meshSet(time.Second))
 		m.publish()
@@ -98,7 +98,7 @@
 
 // Version 3 is published while version 2 still spreads, and nodes hold parts of
 // both. Every node must end with version 3 and never return to an older one.
-func TestTwoPublicationsCross(t *testing.T) {
+func TestOverlappingPublicationsConverge(t *testing.T) {
 	testMesh(t, 12, func(t *testing.T, m *mesh) {
 		m.publish()
 		time.Sleep(30 * time.Millisecond)
@@ -111,7 +111,7 @@
 // are cut from each other, and each region applies another one. After the cut the
 // fleet must not remain split between them, and the conflict must be recorded for
 // the operators.
-func TestTwoOperatorsPublishOneVersion(t *testing.T) {
+func TestConflictingPublicationsConverge(t *testing.T) {
 	testMesh(t, 12, func(t *testing.T, m *mesh) {
 		version := snapshot.Version{Epoch: 1, Revision: 2}
 		one, two := m.build(version, meshSet(7*time.Second)), m.build(version, meshSet(8*time.Second))
@@ -140,7 +140,7 @@
 
 // A publication has parts with corrupt content. No node may apply the rest of it,
 // an event must be recorded for operators, and the next version must be applied.
-func TestBrokenPartIsNeverApplied(t *testing.T) {
+func TestCorruptPartIsNeverApplied(t *testing.T) {
 	testMesh(t, 12, func(t *testing.T, m *mesh) {
 		before, root := m.version, m.root
 		bad := m.build(snapshot.Version{Epoch: 1, Revision: 2}, meshSet(9*time.Second))
@@ -182,7 +182,7 @@
 // A failure domain is cut from all others and from the platform for ten
 // minutes, and two versions are published meanwhile. It must keep serving with
 // its version, and have the last version within 15 s after the cut.
-func TestDomainCutTenMinutes(t *testing.T) {
+func TestDomainServesDuringPartition(t *testing.T) {
 	testMesh(t, 16, func(t *testing.T, m *mesh) {
 		cut := inDomain("domain-1")
 		m.isolate(cut)
@@ -201,7 +201,7 @@
 
 // A domain can't reach the platform but can reach another domain. It must get a
 // new version from there, as fast as without the cut.
-func TestDomainCutFromThePlatformOnly(t *testing.T) {
+func TestDomainWithoutPlatformGetsVersion(t *testing.T) {
 	testMesh(t, 16, func(t *testing.T, m *mesh) {
 		m.platform.SetPartition(inDomain("domain-0"))
 		m.publish()
@@ -212,7 +212,7 @@
 // A region is cut off and half of its nodes restart at once. They must get the
 // version from the other half and serve; after the cut the region must get the
 // version that was published meanwhile.
-func TestRegionCutWhileHalfOfItRestarts(t *testing.T) {
+func TestRegionPartitionDuringRestart(t *testing.T) {
 	testMesh(t, 16, func(t *testing.T, m *mesh) {
 		cut := inRegion("region-1")
 		m.isolate(cut)
@@ -235,7 +235,7 @@
 // A reader freezes for 60 s between a version's manifest and its parts. It gets
 // the parts when the fleet is two versions ahead, and must not apply the old
 // version.
-func TestReaderWakesWithOldNews(t *testing.T) {
+func TestResumedReaderAppliesNoOldVersion(t *testing.T) {
 	testMesh(t, 12, func(t *testing.T, m *mesh) {
 		var reader *meshNode
 		for _, mn := range m.nodes {
@@ -267,7 +267,7 @@
 // All readers of all regions lose the platform without an error: their watches
 // never end. Another node's probe must find the new version; otherwise operators
 // would wait until the readers' connections time out.
-func TestBlindReadersAreMadeGood(t *testing.T) {
+func TestProbeFindsVersionThatReadersMiss(t *testing.T) {
 	testMesh(t, 24, func(t *testing.T, m *mesh) {
 		m.platform.SetDelay(func(vm membership.VM) time.Duration {
 			for _, mn := range m.nodes {
@@ -287,7 +287,7 @@
 // own revision counter is lower too. Operators raise the epoch; the fleet must
 // apply the version, although watches wait for a revision that the platform
 // won't reach for a long time.
-func TestPlatformRestoredUnderANewEpoch(t *testing.T) {
+func TestPlatformRestoredWithNewEpoch(t *testing.T) {
 	testMesh(t, 12, func(t *testing.T, m *mesh) {
 		for range 5 {
 			m.publish()
@@ -325,7 +325,7 @@
 // Announces and heartbeats to one node are lost for a while, so that it misses a
 // change and would serve its callers with an old configuration. A call that a
 // peer forwards carries the peer's version, which must start a pull.
-func TestCallTellsOfANewerVersion(t *testing.T) {
+func TestNewerVersionOnCallStartsPull(t *testing.T) {
 	testMesh(t, 12, func(t *testing.T, m *mesh) {
 		outdated, entry := m.nodes[5], m.nodes[9]
 		m.network.SetLoss(func(from, to membership.VM, message port.Message) bool {
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -104,7 +104,7 @@
 
 // All queues are full. The caller must get the retry time of the full queue and
 // not that of a refused probe, and retries must not multiply the three offers.
-func TestRefusalAfterProbes(t *testing.T) {
+func TestRefusalReturnsQueueRetryTime(t *testing.T) {
 	owners := busyOwners(port.Refuse(port.ReasonQueueFull, 7*time.Second, "full"))
 	n := newEntry(t, owners)
 	const requests = 1000
--- a/internal/node/request_test.go
+++ b/internal/node/request_test.go
@@ -204,7 +204,7 @@
 
 // One target hangs. The caller of an idempotent request must still get a response
 // from another target before the deadline, and the hung attempt must end.
-func TestHungTargetLeavesTimeForAnother(t *testing.T) {
+func TestHungTargetLeavesTimeForRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := false
 		owners := &fakeOwners{respond: func(ctx context.Context, number int, _ membership.VM, call *port.Call) (*port.Response, error) {
@@ -269,7 +269,7 @@
 
 // A request with a large body may be retried only if no byte of the body was
 // read, and an ended attempt must not be able to read from it.
-func TestLargeBodyIsRetriedUnread(t *testing.T) {
+func TestLargeBodyIsRetriedOnlyIfUnread(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), 2*requestbody.MaxBufferedBytes)
 	for _, read := range []bool{false, true} {
 		owners := &fakeOwners{}
@@ -337,7 +337,7 @@
 // A call carries a newer version than the owner node has. It must run if the
 // older version has the same route and grant, and otherwise be refused with the
 // reason "behind".
-func TestOwnerBehindTheCall(t *testing.T) {
+func TestOwnerWithOlderVersionThanCall(t *testing.T) {
 	n := newEntry(t, nil)
 	n.config.Self.Service = "tally"
 	n.ports.Target = &countingTarget{}
@@ -364,7 +364,7 @@
 // A stopping node must at once refuse requests for its local target, still serve
 // callers for a while through other targets, and close their connections with
 // each response.
-func TestStoppingNodeClosesPolitely(t *testing.T) {
+func TestStoppingNodeClosesCallerConnections(t *testing.T) {
 	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		return okResponse("whole"), nil
 	}}
@@ -408,7 +408,7 @@
 // After a pause of the process, a request is handled before the control loop
 // runs. The membership is then old, so the request must be refused instead of
 // being sent to a VM that may have departed.
-func TestRequestRightAfterPause(t *testing.T) {
+func TestRequestRightAfterPauseIsRefused(t *testing.T) {
 	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		return okResponse("whole"), nil
 	}}
@@ -425,7 +425,7 @@
 // the pause: the loop has run, but has not yet published that the node must
 // refresh first. The request must be refused as well. Such a request once ran a
 // second past its deadline, after its caller had disconnected during the pause.
-func TestRequestWhileAPauseIsHandled(t *testing.T) {
+func TestRequestDuringPauseHandlingIsRefused(t *testing.T) {
 	owners := &fakeOwners{respond: func(context.Context, int, membership.VM, *port.Call) (*port.Response, error) {
 		return okResponse("whole"), nil
 	}}
@@ -444,7 +444,7 @@
 // it read a part of the body. If the next target got the rest as a complete body,
 // it would file half a return. So large bodies must not be sent on probes, and a
 // body that was read must not be readable again.
-func TestHalfABodyIsNeverOffered(t *testing.T) {
+func TestPartialBodyIsNeverSent(t *testing.T) {
 	large := strings.Repeat("x", 2*requestbody.MaxBufferedBytes)
 	owners := &fakeOwners{}
 	owners.respond = func(_ context.Context, _ int, _ membership.VM, call *port.Call) (*port.Response, error) {
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -64,7 +64,7 @@
 // same strong ETag and therefore the same bytes, the caller must get one complete
 // body; otherwise its body must visibly break, and never end early without an
 // error.
-func TestBrokenArchive(t *testing.T) {
+func TestInterruptedArchiveResumesOrFails(t *testing.T) {
 	text := strings.Repeat("0123456789", 5000)
 	cases := []struct {
 		desc, firstTag, nextTag, byteRange string
@@ -180,7 +180,7 @@
 
 // If the connection breaks while the caller sends the body, no target may get the
 // request.
-func TestBrokenUploadReachesNoTarget(t *testing.T) {
+func TestInterruptedUploadReachesNoTarget(t *testing.T) {
 	owners := &fakeOwners{}
 	n := newEntry(t, owners)
 	for _, body := range []io.Reader{failingReader{}, io.MultiReader(strings.NewReader("half"), failingReader{})} {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -95,7 +95,7 @@
 
 // Requests sent by this node since the last load report must count at once. Otherwise a
 // whole burst goes to one target before it reports that it is full.
-func TestOwnBurstCountsAtOnce(t *testing.T) {
+func TestUnreportedRequestsRaiseCost(t *testing.T) {
 	s := target(SameDomain, Load{Running: 10, Slots: 12, Hold: 160 * time.Millisecond})
 	before := s.Cost(start, lookup)
 	for range 20 {
@@ -106,7 +106,7 @@
 
 // Guards against choosing a nearer target although one farther away costs less: the
 // search by distance relies on the lower bound.
-func TestNoTargetCostsLessThanTheLeastOfItsDistance(t *testing.T) {
+func TestCostIsAtLeastMinimumForDistance(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
 		r := Request{
--- a/internal/proxy/choose_test.go
+++ b/internal/proxy/choose_test.go
@@ -57,7 +57,7 @@
 
 // Guards against skipping a cheaper target that is further away. Targets in the node's
 // own failure domain are full, failing, in backoff or already tried.
-func TestChoiceGoesOutsideWhereNearTargetsAreWorse(t *testing.T) {
+func TestFartherTargetIsChosenIfCheaper(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
 		desc    string
--- a/internal/proxy/comeback_test.go
+++ b/internal/proxy/comeback_test.go
@@ -144,7 +144,7 @@
 // A target gets 1.3 times the requests that it can process for half a minute, and refused
 // callers retry. If retries are recognized, requests that can still be in time are served
 // first: far more callers get a response in time, and about as many get one at all.
-func TestCallersWhoCameBackGoBehindThoseInTime(t *testing.T) {
+func TestLateRetriesAreServedAfterOnTimeRequests(t *testing.T) {
 	unknown, known := simulateBurst(false), simulateBurst(true)
 	t.Logf("retries not recognized: %d in time, %d late, %d unanswered; recognized: %d, %d, %d", unknown.inTime, unknown.late, unknown.unanswered, known.inTime, known.late, known.unanswered)
 	assert.Assert(t, known.inTime > unknown.inTime*5/4)
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -147,7 +147,7 @@
 
 // Guards against suspecting requests when connections break while the target keeps
 // running, or when a target that was leaving ends.
-func TestWhatIsNoCrash(t *testing.T) {
+func TestCrashDetection(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
 		serve func(f *fleet) func(http.ResponseWriter, *http.Request)
@@ -248,7 +248,7 @@
 
 // Guards against retrying a request that was running during an earlier crash: a second
 // target might crash.
-func TestSuspectIsNotRepeated(t *testing.T) {
+func TestSuspectIsNotRetried(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, target := range f.targets {
 		target.serve = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -261,7 +261,7 @@
 }
 
 // Guards against taking the crash of a restarted target for the previous crash.
-func TestEachStartMayCrash(t *testing.T) {
+func TestCrashOfRestartedTargetIsCounted(t *testing.T) {
 	f := newFleet(t, 1)
 	crashes := f.proxies[0].crashes
 	fingerprint := fingerprintOfPath(poisonPath)
@@ -282,7 +282,7 @@
 // Guards against a request that stays suspected at a node that receives crash reports but
 // no reports of completed runs: a response that the node forwards clears the suspicion as
 // well.
-func TestAnswerClearsItsRequest(t *testing.T) {
+func TestForwardedResponseClearsSuspicion(t *testing.T) {
 	f := newFleet(t, 2)
 	crashes := quarantine.NewSharedLedger(wallClock{})
 	f.proxies[0].crashes = crashes
--- a/internal/proxy/operations_test.go
+++ b/internal/proxy/operations_test.go
@@ -44,7 +44,7 @@
 
 // A request is refused although the target reports free slots. The steps of
 // docs/OPERATIONS.md lead from the request id to the target that shed it, and its load.
-func TestPathOfARefusalThoughTargetsWereFree(t *testing.T) {
+func TestTraceOfRefusalDespiteFreeTargets(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].BackOff(time.Now())
 	f.proxies[0].config.RetryRatio, f.proxies[0].config.RetrySlack = 0, 0
@@ -64,7 +64,7 @@
 
 // A caller doesn't know whether its non-idempotent request was executed. The trace shows
 // the target that closed the connection, and the node that detected it.
-func TestPathOfAFilingOfUnknownOutcome(t *testing.T) {
+func TestTraceOfUnknownOutcome(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].BackOff(time.Now())
 	f.targets[1].serve = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -77,7 +77,7 @@
 
 // A response breaks off at its target. The trace shows the failed attempt, and that the
 // caller got the complete response of another target.
-func TestPathOfADownloadThatBroke(t *testing.T) {
+func TestTraceOfInterruptedResponse(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t1"].RecordFailure(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) {
@@ -93,7 +93,7 @@
 
 // Guards against excessive logging when 1,000 requests fail: the lines stay within their
 // rate limit, and the number of dropped lines is logged.
-func TestLinesStayWithinTheirBudget(t *testing.T) {
+func TestLogLinesAreRateLimited(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targets[0].serve = shedHandler("1,0,4")
 	const requests = 1000
@@ -110,7 +110,7 @@
 
 // A request fails at one target and is served by another. The trace of its id contains
 // the first attempt, with the target and its response status.
-func TestTraceTellsOfAnAttemptThatTheTargetFailed(t *testing.T) {
+func TestTraceShowsFailedAttempt(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].RecordFailure(time.Now())
 	f.targets[1].serve = func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -40,7 +40,7 @@
 
 // Guards against a node that has just started, without a configuration, and reports that
 // a route doesn't exist: callers would take this as final.
-func TestNodeWithoutConfigurationIsNotSure(t *testing.T) {
+func TestNodeWithoutConfigurationIsUnavailable(t *testing.T) {
 	f := newFleet(t, 1)
 	assert.Equal(t, f.send(0, "GET", "/nowhere/", "").Code, http.StatusNotFound)
 	f.proxies[0].SetSnapshot(&Snapshot{})
@@ -52,7 +52,7 @@
 // A target sheds every request although it reports free slots. Callers may retry soon,
 // and the node must go on sending as many requests as before: if it reduced the target's
 // slots, it would refuse requests that the target would serve.
-func TestShedWithRoomTakesNoSlots(t *testing.T) {
+func TestShedWithFreeSlotsKeepsSlots(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targets[0].serve = shedHandler("1,0,4")
 	for range 3 * testSlots {
@@ -80,7 +80,7 @@
 
 // A target sheds a non-idempotent request, which proves that it did not run. It is sent
 // to another target and runs once.
-func TestShedFilingRunsElsewhereOnce(t *testing.T) {
+func TestShedRequestRunsElsewhereOnce(t *testing.T) {
 	f := newFleet(t, 2)
 	f.targets[0].serve = shedHandler("1,0,4")
 	f.proxies[0].stats["t1"].RecordFailure(time.Now())
@@ -92,7 +92,7 @@
 // A target accepts a non-idempotent request and closes the connection. It is unknown
 // whether the request ran, so it must not be retried, and the caller must not be told
 // that it did not run.
-func TestFilingOfUnknownOutcomeIsNotRepeated(t *testing.T) {
+func TestUnknownOutcomeIsNotRetried(t *testing.T) {
 	f := newFleet(t, 2)
 	for _, target := range f.targets {
 		target.serve = func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -104,7 +104,7 @@
 
 // A response breaks off. The caller of an idempotent request gets the complete response
 // of another target, never the partial one.
-func TestBrokenAnswerIsHadAgain(t *testing.T) {
+func TestInterruptedResponseIsRetried(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t1"].RecordFailure(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) {
@@ -117,7 +117,7 @@
 
 // A target answers 200 without the header that proves that it generated the response. The
 // body may come from elsewhere and must not be forwarded.
-func TestSuccessWithoutProofIsNotPassedOn(t *testing.T) {
+func TestUnsignedResponseIsNotForwarded(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targets[0].serve = func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("spoilt")) }
 	w := f.send(0, "POST", "/once/x", "")
@@ -127,7 +127,7 @@
 
 // The address of a removed target is in use by another one, and the entry node doesn't
 // know yet. The request must not run there.
-func TestReusedAddressRunsNothing(t *testing.T) {
+func TestReusedAddressDoesNotRunRequest(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targets[0].id = "stranger"
 	w := f.send(0, "POST", "/once/x", "")
@@ -140,7 +140,7 @@
 // its last load report showed free slots, the first attempt continues: cancelling it
 // would waste the work of a target that is only slow, and leave the caller without a
 // response.
-func TestSlowAttemptIsGivenUpOnlyForAnother(t *testing.T) {
+func TestSlowAttemptIsCanceledOnlyForAnother(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
 		nodes int
@@ -179,7 +179,7 @@
 
 // A node is stopped while a target works slowly on a request received before. The node
 // waits for the response instead of trying another target.
-func TestStoppingNodeGivesNothingUp(t *testing.T) {
+func TestStoppingNodeAwaitsResponses(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t1"].RecordFailure(time.Now())
 	f.targets[0].serve = func(w http.ResponseWriter, r *http.Request) {
@@ -194,7 +194,7 @@
 
 // Every target fails. The retries of all requests must stay within the fleet's budget: a
 // fraction of the requests, plus a fixed number.
-func TestRepeatsStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	f := newFleet(t, 2)
 	for _, p := range f.proxies {
 		p.config.RetrySlack = 4
@@ -214,7 +214,7 @@
 
 // All targets are full. A retry of a caller that can't be in time any more is refused
 // after the first full target; one that may still be in time is refused after both.
-func TestOverdueCallersAreRefusedAtOnce(t *testing.T) {
+func TestOverdueRetryIsRefusedAtFirstFullTarget(t *testing.T) {
 	for _, test := range []struct {
 		desc   string
 		waited time.Duration
@@ -247,7 +247,7 @@
 
 // Guards against sending requests to a target long after its own node learned that it is
 // draining.
-func TestOwnerEndsTheWorkOfADrainingTarget(t *testing.T) {
+func TestOwnerRefusesForDrainingTarget(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
 		since time.Duration
@@ -273,7 +273,7 @@
 // A target's entry is removed from the platform, and an entry node learns of it later
 // than the target's own node. After the grace period, the owner node refuses the request,
 // and it runs at another target.
-func TestOwnerEndsTheGraceOfAGoneTarget(t *testing.T) {
+func TestOwnerRefusesForRemovedTarget(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[0].stats["t0"].RecordFailure(time.Now())
 	usableUntil := func(until time.Time) {
@@ -293,7 +293,7 @@
 // The owner node of the nearest target stops. The target keeps running and is used until
 // the node is about to end. From then on, the node refuses requests as not executed, and
 // they run at another target without counting as an arrival.
-func TestStoppingOwnerCostsNoArrival(t *testing.T) {
+func TestStoppingOwnerRefusalCountsNoArrival(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[1].Stop(time.Now().Add(time.Minute))
 	f.proxies[0].stats["t0"].RecordFailure(time.Now())
@@ -305,7 +305,7 @@
 
 // A node is stopping, and a request may take longer than the node has left. It must not
 // be sent to the node's target, where it would be cut off.
-func TestStoppingNodeBeginsNothingThatItMustCut(t *testing.T) {
+func TestStoppingNodeStartsNoLongRequest(t *testing.T) {
 	f := newFleet(t, 2)
 	f.proxies[1].Stop(time.Now().Add(time.Second))
 	f.proxies[0].stats["t0"].RecordFailure(time.Now())
@@ -316,7 +316,7 @@
 // Guards against a stopping node that reads requests from kept-alive connections just
 // before it ends, sends them to a target and then cuts them off. Requests certain to
 // finish in time are served.
-func TestStoppingNodeTakesNoCallerThatItMustCut(t *testing.T) {
+func TestStoppingNodeServesOnlyRequestsItCanFinish(t *testing.T) {
 	for _, test := range []struct {
 		desc    string
 		endsIn  time.Duration
@@ -346,7 +346,7 @@
 // A node restarts and refuses connections for two seconds. Its target must get requests
 // again within half a second of the node's return, not after a backoff that has grown in
 // the meantime.
-func TestTargetOfARestartedNodeIsSoonUsed(t *testing.T) {
+func TestTargetIsUsedSoonAfterNodeRestart(t *testing.T) {
 	f := newFleet(t, 2)
 	stats := f.proxies[0].stats["t1"]
 	now := time.Now()
@@ -360,7 +360,7 @@
 
 // A route leads to a service without usable targets. Its requests are refused and not
 // sent to another service. (The shares of a split are tested with the splitter.)
-func TestPartWithoutTargetsIsRefused(t *testing.T) {
+func TestServiceWithoutTargetsIsRefused(t *testing.T) {
 	f := newFleet(t, 1)
 	route := testRoute("/split/", mesh.Idempotent)
 	route.Shares = []mesh.Share{{Service: "empty", Weight: 1}}
@@ -373,7 +373,7 @@
 
 // A caller exceeds the limits of the active configuration. It gets the corresponding
 // status, and nothing reaches a target.
-func TestLimitsOfTheConfiguration(t *testing.T) {
+func TestConfiguredLimitsAreEnforced(t *testing.T) {
 	f := newFleet(t, 1)
 	snapshot := *f.proxies[0].snapshot.Load()
 	config := *f.table.Config
--- a/internal/proxy/rank_test.go
+++ b/internal/proxy/rank_test.go
@@ -32,7 +32,7 @@
 	return &forwarder{proxy: p, route: route, began: now, firstAt: now, deadline: now.Add(2 * time.Second)}, member
 }
 
-func TestWaitLeavesTimeForTheWork(t *testing.T) {
+func TestMaxWaitLeavesProcessingTime(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
 		desc     string
@@ -105,7 +105,7 @@
 // A target that is slower than the others gets more requests than it can process. With
 // waits based on its own speed, more of its responses are in time than with waits based
 // on the mean of all targets, and it serves as many.
-func TestWaitsByTheTargetsOwnSpeedAreInTime(t *testing.T) {
+func TestWaitsByTargetSpeedMissFewerDeadlines(t *testing.T) {
 	byMean, byOwn := simulateSlowTarget(1), simulateSlowTarget(1.6)
 	t.Logf("in time: %.3f by the mean of all targets, %.3f by its own speed", byMean, byOwn)
 	assert.Assert(t, byOwn > byMean+0.1)
--- a/internal/proxy/reach_test.go
+++ b/internal/proxy/reach_test.go
@@ -29,7 +29,7 @@
 // A network partition disconnects a VM while the platform still lists its target. Only
 // one request detects that. All others go to another target immediately, since only a
 // background probe checks whether the VM is back.
-func TestOneRequestFindsOutThatAVMIsAway(t *testing.T) {
+func TestOneRequestDetectsUnreachableVM(t *testing.T) {
 	f := newFleet(t, 2)
 	f.makeUnreachable(t, 1)
 	p := f.proxies[0]
@@ -47,7 +47,7 @@
 // One VM was found unreachable. A non-idempotent request is sent to another node only
 // after a successful ping: if it were written to a connection that is not read, its
 // outcome would be unknown, and the caller could not retry it.
-func TestFilingIsNotSentIntoAPartition(t *testing.T) {
+func TestNonIdempotentRequestRequiresPing(t *testing.T) {
 	f := newFleet(t, 2)
 	f.makeUnreachable(t, 1)
 	p := f.proxies[0]
@@ -58,7 +58,7 @@
 
 // A VM that was unreachable answers again. The probe detects it, and its target gets
 // requests.
-func TestVMThatIsBackIsUsedAgain(t *testing.T) {
+func TestReachableVMIsUsedAgain(t *testing.T) {
 	f := newFleet(t, 2)
 	p := f.proxies[0]
 	p.stats["t0"].RecordFailure(time.Now())
@@ -74,7 +74,7 @@
 
 // A target is full of new requests when a call arrives that another target makes for a
 // request that it is working on. The call must get the next slot.
-func TestCallsGoBeforeNewRequests(t *testing.T) {
+func TestInnerCallsPrecedeNewRequests(t *testing.T) {
 	f := newFleet(t, 1)
 	call := testRoute("/call/", mesh.Idempotent)
 	call.TargetLatency = 50 * time.Millisecond
--- a/internal/proxy/repeat_test.go
+++ b/internal/proxy/repeat_test.go
@@ -39,7 +39,7 @@
 // service is a retry; it calls the inner service through the node on its VM. These calls
 // count as retries of the inner service, in addition to its own: together they must stay
 // within the budget given by its requests.
-func TestRepeatsLeaveRoomForCallsOfRepeatedRuns(t *testing.T) {
+func TestRetryBudgetIncludesCallsOfRetriedRuns(t *testing.T) {
 	const requests = 400
 	f := newFleet(t, 2)
 	outer := &arrivalCounter{prefix: "/outer/", byRequest: map[string]int{}}
--- a/internal/quarantine/cost_test.go
+++ b/internal/quarantine/cost_test.go
@@ -33,7 +33,7 @@
 
 // Guards against a ledger that uses too much of a node's memory if its targets have many
 // slots.
-func TestFullLedgerIsSmall(t *testing.T) {
+func TestFullLedgerMemoryIsBounded(t *testing.T) {
 	before := heap()
 	l := fullLedger(maxSuspects)
 	size := int64(heap()) - int64(before)
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -28,7 +28,7 @@
 	return list
 }
 
-func TestWhichRequestIsBlocked(t *testing.T) {
+func TestLedgerBlocksCrashingRequests(t *testing.T) {
 	type step struct {
 		crash     Crash
 		completed Fingerprint
--- a/internal/routing/retry/fleet_test.go
+++ b/internal/routing/retry/fleet_test.go
@@ -210,7 +210,7 @@
 // make their calls again. In any deployment with 0 to 3 calls per run, the targets
 // must get no more retries than operators allow, in any window. Under heavy load
 // shedding the budget must be used.
-func TestFleetKeepsTheBudgetWithCallsOfRepeatedRuns(t *testing.T) {
+func TestFleetBudgetHoldsWithCallsOfRetriedRuns(t *testing.T) {
 	maxUsed := 0.0
 	for _, seed := range seeds {
 		f := newFleet(seed)
--- a/internal/routing/retry/ledger_test.go
+++ b/internal/routing/retry/ledger_test.go
@@ -11,7 +11,7 @@
 
 // Requests and retries come in bursts of any size. In every interval of the window's
 // length, wherever it begins, the retries must stay within the limits.
-func TestLedgerHoldsInEverySpan(t *testing.T) {
+func TestFleetBudgetHoldsInEveryWindow(t *testing.T) {
 	limits := Limits{Ratio: 0.2, Slack: 3}
 	rapid.Check(t, func(t *rapid.T) {
 		window := time.Duration(rapid.IntRange(2, 20).Draw(t, "window")) * time.Second
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -72,7 +72,7 @@
 
 // Guards against a check that misses the violation it is for, or that reports another
 // one. A history without violations must give no findings.
-func TestEachPromiseCanBeFoundBroken(t *testing.T) {
+func TestEachViolationIsDetected(t *testing.T) {
 	for _, test := range []struct {
 		desc    string
 		corrupt func(h *History)
@@ -142,7 +142,7 @@
 
 // Guards against findings on disturbed VMs, for which the bounds don't hold: a frozen
 // node can't apply a published version, and a killed one interrupts its requests.
-func TestDisturbedNodesAreExcused(t *testing.T) {
+func TestDisturbedNodesCauseNoFindings(t *testing.T) {
 	h := validHistory()
 	h.Events = append(h.Events, Event{Kind: FreezeNode, VM: 0, Begin: 28 * time.Second, End: 30 * time.Second}, Event{Kind: KillNode, VM: 0, Begin: 11 * time.Second, End: 11 * time.Second})
 	h.add("moving", prefixMoving, "i-2", movingService(1), 30*time.Second)
@@ -152,7 +152,7 @@
 
 // Guards against a finding for a process that a signal ended before it could install
 // a handler.
-func TestSignalInTheFirstMomentIsExcused(t *testing.T) {
+func TestSignalBeforeHandlerCausesNoFinding(t *testing.T) {
 	h := validHistory()
 	h.Events = append(h.Events, Event{Kind: NodeExited, VM: 0, Begin: 10 * time.Second, End: 11 * time.Second, ProcessStarted: 10*time.Second - 15*time.Millisecond},
 		Event{Kind: ReloadNode, VM: 0, Begin: 10*time.Second - 5*time.Millisecond, End: 10 * time.Second})
--- a/internal/soak/relay_test.go
+++ b/internal/soak/relay_test.go
@@ -67,7 +67,7 @@
 // The server of a relay ends. Guards against a relay that still accepts connections:
 // clients must be refused, as they would be without a relay, from the moment at which
 // open connections end until the server is back.
-func TestRelayRefusesLikeItsServer(t *testing.T) {
+func TestRelayRefusesWithoutServer(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	relay, err := NewRelay("127.0.0.1:0", server.Addr().String())
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -241,7 +241,7 @@
 
 // Checks that each subcommand is shown on some page, and that its help has an example
 // whose commands and flags exist.
-func TestEveryCommandIsShown(t *testing.T) {
+func TestEveryCommandIsDocumented(t *testing.T) {
 	var all strings.Builder
 	visitPages(t, func(_, text string) { all.WriteString(text) })
 	for _, tree := range []*cobra.Command{root.New(), cli.New(cli.Dependencies{})} {
@@ -257,7 +257,7 @@
 
 var linkPattern = regexp.MustCompile(`\]\(([^)#:\s]+)(?:#[^)]*)?\)`)
 
-func TestLinksLeadSomewhere(t *testing.T) {
+func TestLinkTargetsExist(t *testing.T) {
 	visitPages(t, func(path, text string) {
 		for _, match := range linkPattern.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), match[1]))
--- a/test/process/deadline_test.go
+++ b/test/process/deadline_test.go
@@ -19,7 +19,7 @@
 // reporting it as "outcome unknown" without Retry-After: the entry node's timer
 // expired at the moment at which the owner gave up, so that the owner's refusal
 // arrived too late.
-func TestWaitUntilTheDeadlineIsARefusal(t *testing.T) {
+func TestQueueTimeoutIsReportedAsRefusal(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	text := testContracts("1s")
 	before, archive, _ := strings.Cut(text, `service = "archive"`+"\nshare = 0.5\nlimit = 1.0")
--- a/test/process/faults_test.go
+++ b/test/process/faults_test.go
@@ -18,7 +18,7 @@
 // Guards against outcomes that contradict what ran: callers submit returns, read
 // tallies and fetch archives while processes are killed, hang or report a false
 // health or load. The ledgers of the targets must match the outcome of each call.
-func TestLedgerAgreesWithCallers(t *testing.T) {
+func TestOutcomesMatchTargetLedgers(t *testing.T) {
 	// leastAnswered is the number of answered calls required before the fault, and
 	// again after it.
 	const leastAnswered = 26
@@ -99,7 +99,7 @@
 // paused for ten seconds with requests in its queue and resumes. By then its callers
 // have got "unknown" or a response from another target. If it started the waiting
 // requests, a return that its caller has submitted elsewhere since would run late.
-func TestPausedOwnerStartsNothingLate(t *testing.T) {
+func TestResumedOwnerStartsNoExpiredRequest(t *testing.T) {
 	t.Parallel()
 	f, rec := newLoadedFleet(t, time.Second)
 	for _, id := range []string{"a-returns", "b-returns"} {
@@ -139,7 +139,7 @@
 // respond. Each submission runs at most once, so some order of the submissions must
 // explain the runs of each return. More isn't guaranteed: without durable state a
 // second submission of the same return may run as well.
-func TestHistoryOfSubmissions(t *testing.T) {
+func TestSubmissionRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
 	f, rec := newLoadedFleet(t, 2*time.Second)
 	f.setTarget("a-returns", target.Mode{ServiceMS: 5, AbortBeforeResponse: true})
--- a/test/process/load_test.go
+++ b/test/process/load_test.go
@@ -37,7 +37,7 @@
 // returns are compared with the ledgers of the targets: an answered return ran once,
 // one refused as not run did not run, and none ran twice. No caller gets a response
 // to another request, and a planned stop cuts off no response.
-func TestWhatCallersAreToldIsTrue(t *testing.T) {
+func TestOutcomesAreCorrectDuringNodeFailure(t *testing.T) {
 	for _, test := range []struct {
 		desc    string
 		signals []string
--- a/test/process/operators_test.go
+++ b/test/process/operators_test.go
@@ -63,7 +63,7 @@
 // Callers are served as before; operators see that the nodes serve a configuration
 // that may be old, since when and why, and that they are ready again once the
 // platform is reachable.
-func TestOutageIsToldAndCallersAreServed(t *testing.T) {
+func TestOutageIsReportedAndCallersAreServed(t *testing.T) {
 	f := newFleet(t, sixVMs()[:2]...)
 	f.publish(testContracts("5s"))
 	f.waitVersion()
@@ -89,7 +89,7 @@
 // can't be completed. An operator publishes a manifest and the upload of its parts
 // fails: the nodes keep the previous version, status shows the incomplete one, and
 // uploading the parts is enough to repair it.
-func TestVersionWithoutItsPartsIsToldAndMended(t *testing.T) {
+func TestIncompleteVersionIsReportedAndRepaired(t *testing.T) {
 	f := newFleet(t, sixVMs()[:2]...)
 	f.publish(testContracts("5s"))
 	f.waitVersion()
--- a/test/process/path_test.go
+++ b/test/process/path_test.go
@@ -89,7 +89,7 @@
 // Guards against a truncated manifest that is taken for a complete one. While the
 // platform truncates its responses, the nodes must keep their version; once it
 // recovers, they apply the new one.
-func TestPlatformAnswersCutShort(t *testing.T) {
+func TestTruncatedPlatformResponsesAreRejected(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts("5s"))
 	f.waitVersion()
@@ -108,7 +108,7 @@
 
 // Guards against a truncated archive that looks complete: if the target closes the
 // connection in the middle, the caller must get a broken response, not a clean end.
-func TestBrokenArchiveIsVisiblyBroken(t *testing.T) {
+func TestTruncatedArchiveFailsVisibly(t *testing.T) {
 	f := newFleet(t, sixVMs()...)
 	f.publish(testContracts("5s"))
 	f.waitVersion()
--- a/test/process/pause_test.go
+++ b/test/process/pause_test.go
@@ -26,7 +26,7 @@
 // Guards against a return that starts after its deadline because the owner was paused
 // just before sending it to the target. Returns arrive in bursts, and each pause
 // begins during a burst.
-func TestPausesIntoBurstsStartNothingLate(t *testing.T) {
+func TestPausesDuringBurstsStartNoExpiredRequest(t *testing.T) {
 	t.Parallel()
 	pauses := defaultPauses
 	if text := os.Getenv(pausesVariable); text != "" {
--- a/test/process/reload_test.go
+++ b/test/process/reload_test.go
@@ -18,7 +18,7 @@
 // it for changed settings while the process reads them for the first time, and the VM
 // was left without a node. The settings file is a pipe here, so that the signal
 // arrives at the same moment in each run: opening the pipe waits for the reader.
-func TestSettingsThatChangeDuringTheStart(t *testing.T) {
+func TestReloadSignalDuringStartup(t *testing.T) {
 	t.Parallel()
 	host := loopback
 	node := userfiles.Node{
--- a/test/process/stop_test.go
+++ b/test/process/stop_test.go
@@ -26,7 +26,7 @@
 // Guards against requests that a planned restart cuts off: all nodes are restarted one
 // after another under load. Each call must be answered completely or refused as not
 // run.
-func TestRollingRestartCutsNothing(t *testing.T) {
+func TestRollingRestartInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
 	f, rec := newLoadedFleet(t, 5*time.Second)
 	for _, id := range f.order {
@@ -65,7 +65,7 @@
 // service's targets, stops at once under load, while the platform goes on listing its
 // VMs. No request may be cut off, and the targets of the stopped nodes, which keep
 // running, must soon get no more requests.
-func TestHerdStopsTogether(t *testing.T) {
+func TestDomainStopInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
 	f, rec := newLoadedFleet(t, 5*time.Second)
 	for _, id := range f.order {
