--- a/internal/adapter/feedws/feedws_test.go
+++ b/internal/adapter/feedws/feedws_test.go
@@ -78,7 +78,7 @@
 }
 
 func TestBrokenMessagesAreRefused(t *testing.T) {
-	bomb, err := compress(&mesh.ConfigDelta{Dropped: []string{strings.Repeat("x", maxUpdate)}})
+	bomb, err := compress(&mesh.ConfigDelta{Removed: []string{strings.Repeat("x", maxUpdate)}})
 	assert.NilError(t, err)
 	for _, test := range []struct {
 		desc string
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -218,8 +218,8 @@
 // were forwarded with heartbeats alone, each hop from the reader to the last node would add
 // one interval to the age of the view.
 func (f *Follower) wakeFeeds(now time.Time, changed bool) {
-	current := now.Add(-f.view.Lag(now))
-	if !changed && (f.view.Lag(now) < 0 || current.Sub(f.notifiedCurrent) < f.timing.heartbeatInterval) {
+	current := now.Add(-f.view.MembersAge(now))
+	if !changed && (f.view.MembersAge(now) < 0 || current.Sub(f.notifiedCurrent) < f.timing.heartbeatInterval) {
 		return
 	}
 	f.notifiedCurrent = current
--- a/internal/follow/neighbours.go
+++ b/internal/follow/neighbours.go
@@ -42,7 +42,7 @@
 		add(vm.PeerAddress)
 	}
 	orphaned := f.orphaned()
-	if orphaned || f.view.Lag(f.clock.Now()) > f.timing.moreParentsAfter {
+	if orphaned || f.view.MembersAge(f.clock.Now()) > f.timing.moreParentsAfter {
 		for _, vm := range t.first(fallbackParents) {
 			add(vm.PeerAddress)
 		}
@@ -67,7 +67,7 @@
 // must be called with the mutex held.
 func (f *Follower) sources() []membership.VM {
 	t := f.currentTopology()
-	late := f.view.Lag(f.clock.Now()) > f.timing.farReaderAfter
+	late := f.view.MembersAge(f.clock.Now()) > f.timing.farReaderAfter
 	for _, vm := range t.parents {
 		late = late || f.broken[vm.PeerAddress]
 	}
@@ -125,7 +125,7 @@
 func (f *Follower) untilMoreNeighbours() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	lag := f.view.Lag(f.clock.Now())
+	lag := f.view.MembersAge(f.clock.Now())
 	switch {
 	case f.view.Table() == nil || lag < 0:
 		return 0
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -87,7 +87,7 @@
 func (f *Follower) shouldRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	lag := f.view.Lag(f.clock.Now())
+	lag := f.view.MembersAge(f.clock.Now())
 	rank := f.rank()
 	if lag < 0 {
 		wait := startWait + time.Duration(rank)*startStagger
@@ -105,7 +105,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	lag := f.view.Lag(now)
+	lag := f.view.MembersAge(now)
 	if lag < 0 {
 		return 0
 	}
--- a/internal/mesh/delta.go
+++ b/internal/mesh/delta.go
@@ -11,9 +11,9 @@
 type ConfigDelta struct {
 	Base    uint64 `cbor:"b"`
 	Version uint64 `cbor:"v"`
-	// Changed holds new and modified routes, Dropped the names of removed ones.
+	// Changed holds new and modified routes, Removed the names of removed ones.
 	Changed  []Route   `cbor:"c,omitempty"`
-	Dropped  []string  `cbor:"d,omitempty"`
+	Removed  []string  `cbor:"d,omitempty"`
 	Services []Service `cbor:"s,omitempty"`
 	Limits   Limits    `cbor:"l"`
 	// Part is the index, from 0, of this part of a delta that is sent in Parts parts; an
@@ -48,9 +48,9 @@
 		delete(old, route.Name)
 	}
 	for name := range old {
-		delta.Dropped = append(delta.Dropped, name)
+		delta.Removed = append(delta.Removed, name)
 	}
-	slices.Sort(delta.Dropped)
+	slices.Sort(delta.Removed)
 	return delta
 }
 
@@ -69,8 +69,8 @@
 	for i := range d.Changed {
 		changed[d.Changed[i].Name] = &d.Changed[i]
 	}
-	dropped := make(map[string]bool, len(d.Dropped))
-	for _, name := range d.Dropped {
+	dropped := make(map[string]bool, len(d.Removed))
+	for _, name := range d.Removed {
 		dropped[name] = true
 	}
 	config.Routes = make([]Route, 0, len(base.Routes)+len(d.Changed))
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -21,8 +21,9 @@
 	Download
 )
 
-// Repeatable reports whether a request that may already have run may be sent again.
-func (k Kind) Repeatable() bool { return k != NonIdempotent }
+// IsIdempotent reports whether a request that may already have run may be sent again.
+// Downloads are idempotent too.
+func (k Kind) IsIdempotent() bool { return k != NonIdempotent }
 
 // Share assigns a part of a route's requests to a service.
 type Share struct {
--- a/internal/mesh/parts.go
+++ b/internal/mesh/parts.go
@@ -25,7 +25,7 @@
 		parts = append(parts, &ConfigDelta{Base: d.Base, Version: d.Version, Changed: changed, Part: len(parts), Parts: count})
 	}
 	last := parts[count-1]
-	last.Dropped, last.Services, last.Limits = d.Dropped, d.Services, d.Limits
+	last.Removed, last.Services, last.Limits = d.Removed, d.Services, d.Limits
 	return parts
 }
 
@@ -58,7 +58,7 @@
 // which it detects by route names that are duplicate or not in ascending order.
 func (a *assembly) join() *ConfigDelta {
 	last := a.parts[len(a.parts)-1]
-	delta := &ConfigDelta{Base: a.base, Version: a.version, Dropped: last.Dropped, Services: last.Services, Limits: last.Limits}
+	delta := &ConfigDelta{Base: a.base, Version: a.version, Removed: last.Removed, Services: last.Services, Limits: last.Limits}
 	for _, part := range a.parts {
 		delta.Changed = append(delta.Changed, part.Changed...)
 	}
--- a/internal/mesh/since.go
+++ b/internal/mesh/since.go
@@ -49,7 +49,7 @@
 // configuration change is sent in parts, one per call. Other changes are sent before the
 // next part, so that a departure doesn't wait for a configuration.
 func (v *View) Since(now time.Time, position Position) (*Update, Position) {
-	update := &Update{Age: v.Lag(now), RTT: v.rtt, Revision: v.revision, ConfigPending: v.membersCurrentAt.After(v.currentAt)}
+	update := &Update{Age: v.MembersAge(now), RTT: v.rtt, Revision: v.revision, ConfigPending: v.membersCurrentAt.After(v.currentAt)}
 	if v.ReadFailed() {
 		update.FailedReadAge = max(1, now.Sub(v.failedReadAt))
 	}
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -147,10 +147,10 @@
 	return max(0, now.Sub(v.currentAt))
 }
 
-// Lag is like Age, but disregards a configuration that is still being received. The parts
-// of a large one take seconds on a saturated link, during which the sender is neither lost
-// nor late.
-func (v *View) Lag(now time.Time) time.Duration {
+// MembersAge is like Age, but disregards a configuration that is still being received. The
+// parts of a large one take seconds on a saturated link, during which the sender is neither
+// lost nor late.
+func (v *View) MembersAge(now time.Time) time.Duration {
 	if v.membersCurrentAt.IsZero() {
 		return -1
 	}
@@ -186,7 +186,7 @@
 // sufficient: updates are also late on a saturated link, and a departed target would then
 // stay in use for the grace period of an expired lease.
 func (v *View) Outage(now time.Time) bool {
-	return v.Lag(now) > outageAfter && v.ReadFailed()
+	return v.MembersAge(now) > outageAfter && v.ReadFailed()
 }
 
 // Members returns all known targets by id. The map belongs to the view: it changes with the
--- a/internal/proxy/rank.go
+++ b/internal/proxy/rank.go
@@ -73,7 +73,7 @@
 	meta := attemptMeta{
 		attemptID: f.proxy.nextAttemptID(now), route: f.route.Name, rank: f.route.Priority * ranksPerPriority,
 		budget: left, dueIn: f.dueIn(now), responseSize: size, revision: member.Revision,
-		urgency: urgency(f.route.TargetLatency), retryable: f.route.Kind.Repeatable(),
+		urgency: urgency(f.route.TargetLatency), retryable: f.route.Kind.IsIdempotent(),
 		retryProbability: f.retryProbability(), fingerprint: f.fingerprint,
 	}
 	if slack := meta.dueIn - time.Duration(workMargin*float64(hold)); slack > 0 && !f.overdue(now) {
--- a/internal/proxy/slow.go
+++ b/internal/proxy/slow.go
@@ -49,7 +49,7 @@
 
 // mayHedge reports whether a second attempt in parallel is allowed for this request.
 func (f *forwarder) mayHedge() bool {
-	return f.route.Kind.Repeatable() && f.arrivals+1 < f.route.MaxAttempts && f.body.IsBuffered() && f.unsuspected()
+	return f.route.Kind.IsIdempotent() && f.arrivals+1 < f.route.MaxAttempts && f.body.IsBuffered() && f.unsuspected()
 }
 
 // hedgeDelay returns the time after which an attempt takes far longer than usual.
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -11,7 +11,7 @@
 off rank-of-the-overdue internal/proxy/rank.go 's/^\trankLate         = 1/\trankLate = 0/'
 off overdue-refused-at-once internal/proxy/flight.go 's/if f.fullTargets > 0 \&\& f.overdue(now) {/if false {/'
 off bytes-outside internal/placement/placement.go 's/^const DefaultHalfBytes = 20e3/const DefaultHalfBytes = 0/'
-off second-target-beside-a-slow-one internal/proxy/slow.go 's/^\treturn f.route.Kind.Repeatable() \&\&/\treturn false \&\& f.route.Kind.Repeatable() \&\&/'
+off second-target-beside-a-slow-one internal/proxy/slow.go 's/^\treturn f.route.Kind.IsIdempotent() \&\&/\treturn false \&\& f.route.Kind.IsIdempotent() \&\&/'
 off urgency-of-calls internal/proxy/rank.go 's/^\treturn admission.MaxDepth - steps/\treturn 0 * steps/'
 off room-at-each-target internal/placement/placement.go 's/^\tutilizationWeight = 0.05/\tutilizationWeight = 0/'
 off random-part-of-a-choice internal/proxy/choose.go 's/^const tieBreak = 0.02/const tieBreak = 0/'
