--- a/cmd/tamarackd/sidecar.go
+++ b/cmd/tamarackd/sidecar.go
@@ -169,7 +169,7 @@
 	c.proxy.SetService(s.Service)
 	peerAddress := func(host string) string { return net.JoinHostPort(host, strconv.Itoa(s.PeerPort)) }
 	c.follower = follow.New(follow.Config{
-		Self: peerAddress(s.IP), FailureDomain: s.FailureDomain, Region: s.Region, Regions: s.Regions,
+		SelfAddress: peerAddress(s.IP), FailureDomain: s.FailureDomain, Region: s.Region, Regions: s.Regions,
 		PeerAddress:      func(target string) string { return peerAddress(follow.HostOf(target)) },
 		PropagationBound: propagationBound(s),
 		FirstStart:       s.FirstStart,
--- a/internal/follow/bench_test.go
+++ b/internal/follow/bench_test.go
@@ -17,7 +17,7 @@
 // failure domains.
 func newFleetNode(vms int) *Follower {
 	f := New(Config{
-		Self: "10.0.0.0:9", FailureDomain: "a1", Region: "a", Regions: regions,
+		SelfAddress: "10.0.0.0:9", FailureDomain: "a1", Region: "a", Regions: regions,
 		PeerAddress: func(target string) string { return HostOf(target) + ":9" },
 		Announce:    func(context.Context, string) {},
 	}, nil, nil, wallClock{}, &log.Logger{Level: log.FatalLevel, Writer: &log.IOWriter{Writer: io.Discard}}, metrics.New(), func(*mesh.View) {})
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -28,8 +28,8 @@
 	Config   *mesh.Config
 	Targets  []mesh.Target
 	Revision uint64
-	// Answered is when the platform began to respond.
-	Answered time.Time
+	// RespondedAt is when the platform began to respond.
+	RespondedAt time.Time
 }
 
 // Changes holds the changes of the platform's contents after a revision.
@@ -38,8 +38,8 @@
 	Targets  []mesh.Target
 	Removed  []mesh.Removal
 	Revision uint64
-	// Answered is when the platform began to respond.
-	Answered time.Time
+	// RespondedAt is when the platform began to respond.
+	RespondedAt time.Time
 }
 
 // Platform reads the data that operators and targets publish. Each call is billed.
@@ -49,9 +49,9 @@
 	// of a revision. It costs a fraction of List.
 	ListStale(ctx context.Context) (*Listing, error)
 	// Watch returns the changes after a revision as soon as there is one, or no changes
-	// when the wait expires. It returns ErrCompacted if the platform no longer holds these
+	// after the timeout. It returns ErrCompacted if the platform no longer holds these
 	// changes.
-	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
+	Watch(ctx context.Context, after uint64, timeout time.Duration) (*Changes, error)
 	// RTT returns the shortest measured round trip to the platform, or zero before the
 	// first.
 	RTT() time.Duration
@@ -59,15 +59,15 @@
 
 // Feed receives updates from another node.
 type Feed interface {
-	// Follow passes every update to take until the feed breaks or ctx ends. Data covered by
+	// Follow passes every update to apply until the feed breaks or ctx ends. Data covered by
 	// checkpoint is not sent again.
-	Follow(ctx context.Context, address string, checkpoint mesh.Checkpoint, take func(*mesh.Update) error) error
+	Follow(ctx context.Context, address string, checkpoint mesh.Checkpoint, apply func(*mesh.Update) error) error
 }
 
 // Config configures a Follower.
 type Config struct {
-	// Self is the address at which other nodes reach this node.
-	Self          string
+	// SelfAddress is the address at which other nodes reach this node.
+	SelfAddress   string
 	FailureDomain string
 	Region        string
 	Regions       map[string]string
--- a/internal/follow/neighbours.go
+++ b/internal/follow/neighbours.go
@@ -34,7 +34,7 @@
 	t := f.currentTopology()
 	var chosen []string
 	add := func(address string) {
-		if address != f.config.Self && !slices.Contains(chosen, address) {
+		if address != f.config.SelfAddress && !slices.Contains(chosen, address) {
 			chosen = append(chosen, address)
 		}
 	}
@@ -125,14 +125,14 @@
 func (f *Follower) untilMoreNeighbours() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	lag := f.view.MembersAge(f.clock.Now())
+	age := f.view.MembersAge(f.clock.Now())
 	switch {
-	case f.view.Table() == nil || lag < 0:
+	case f.view.Table() == nil || age < 0:
 		return 0
-	case lag < f.timing.farReaderAfter:
-		return f.timing.farReaderAfter - lag
+	case age < f.timing.farReaderAfter:
+		return f.timing.farReaderAfter - age
 	}
-	return f.timing.moreParentsAfter - lag
+	return f.timing.moreParentsAfter - age
 }
 
 // reconnectDelay is the pause before a broken feed is reopened.
@@ -154,7 +154,7 @@
 func (f *Follower) orphaned() bool {
 	followed := 0
 	for _, vm := range f.sources() {
-		if vm.ID == f.config.Self {
+		if vm.ID == f.config.SelfAddress {
 			continue
 		}
 		if !f.broken[vm.PeerAddress] {
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -74,7 +74,7 @@
 	f.bootstrappedAt = f.clock.Now()
 	update := &mesh.Update{Targets: listing.Targets, Age: -1, Revision: listing.Revision}
 	f.addConfig(update, listing.Config)
-	if err := f.apply(update, listing.Answered); err != nil {
+	if err := f.apply(update, listing.RespondedAt); err != nil {
 		f.log.Warn().Err(err).Msg("stale listing could not be applied")
 	}
 }
@@ -87,16 +87,16 @@
 func (f *Follower) shouldRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	lag := f.view.MembersAge(f.clock.Now())
+	age := f.view.MembersAge(f.clock.Now())
 	rank := f.rank()
-	if lag < 0 {
+	if age < 0 {
 		wait := startWait + time.Duration(rank)*startStagger
 		return rank < readers || f.bootstrappedAt.IsZero() || f.clock.Now().Sub(f.bootstrappedAt) > wait
 	}
 	if rank == 0 {
 		return f.clock.Now().Sub(f.nearerReaderAt) > f.timing.farReaderAfter
 	}
-	return lag > f.staleAfter()+f.timing.failoverDelay(rank)
+	return age > f.staleAfter()+f.timing.failoverDelay(rank)
 }
 
 // untilRead returns the time until this node may have to read the platform if it receives
@@ -105,18 +105,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	lag := f.view.MembersAge(now)
-	if lag < 0 {
+	age := f.view.MembersAge(now)
+	if age < 0 {
 		return 0
 	}
 	rank := f.rank()
 	if rank == 0 {
 		return f.timing.farReaderAfter - now.Sub(f.nearerReaderAt)
 	}
-	return f.staleAfter() + f.timing.failoverDelay(rank) - lag
+	return f.staleAfter() + f.timing.failoverDelay(rank) - age
 }
 
-// staleAfter returns the lag at which the first node that isn't a reader fails over to
+// staleAfter returns the age of the view at which the first node that isn't a reader fails over to
 // reading the platform. It is shorter if the readers' feeds are broken or a read of the
 // platform is known to have failed, as there is nothing left to wait for. It must be called
 // with the mutex held.
@@ -186,7 +186,7 @@
 		update.Removed[i].Grace = grace
 	}
 	f.addConfig(update, changes.Config)
-	return !update.Empty(), f.apply(update, changes.Answered)
+	return !update.Empty(), f.apply(update, changes.RespondedAt)
 }
 
 func (f *Follower) countRead(what string, err error) {
@@ -210,7 +210,7 @@
 	f.addConfig(update, listing.Config)
 	f.revision = listing.Revision
 	f.compacted = false
-	return f.apply(update, listing.Answered)
+	return f.apply(update, listing.RespondedAt)
 }
 
 // addConfig adds a configuration to the update as a delta without a base.
--- a/internal/follow/topology.go
+++ b/internal/follow/topology.go
@@ -90,7 +90,7 @@
 }
 
 func (f *Follower) self() membership.VM {
-	return membership.VM{ID: f.config.Self, PeerAddress: f.config.Self, FailureDomain: f.config.FailureDomain, Region: f.config.Region}
+	return membership.VM{ID: f.config.SelfAddress, PeerAddress: f.config.SelfAddress, FailureDomain: f.config.FailureDomain, Region: f.config.Region}
 }
 
 // rank returns the number of VMs of the region that precede this one in reader order.
--- a/internal/follow/world_link_test.go
+++ b/internal/follow/world_link_test.go
@@ -51,7 +51,7 @@
 	w.mu.Lock()
 	w.reads++
 	w.lists++
-	listing := &Listing{Config: w.config, Revision: w.revision, Answered: time.Now()}
+	listing := &Listing{Config: w.config, Revision: w.revision, RespondedAt: time.Now()}
 	for _, target := range w.targets {
 		listing.Targets = append(listing.Targets, target)
 	}
@@ -70,7 +70,7 @@
 	w := l.world
 	w.mu.Lock()
 	w.staleLists++
-	listing := &Listing{Answered: time.Now()}
+	listing := &Listing{RespondedAt: time.Now()}
 	targets := map[string]mesh.Target{}
 	for i, update := range w.history {
 		if time.Since(w.recorded[i]) < staleListAge {
@@ -129,7 +129,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			return &Changes{Revision: after, Answered: time.Now()}, l.checkAccess(ctx)
+			return &Changes{Revision: after, RespondedAt: time.Now()}, l.checkAccess(ctx)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -138,7 +138,7 @@
 }
 
 func (w *world) since(after uint64) *Changes {
-	changes := &Changes{Revision: after, Answered: time.Now()}
+	changes := &Changes{Revision: after, RespondedAt: time.Now()}
 	for _, update := range w.history {
 		// The Age field of a recorded update holds its revision.
 		if revision := uint64(update.Age); revision > after {
--- a/internal/follow/world_test.go
+++ b/internal/follow/world_test.go
@@ -113,7 +113,7 @@
 	domain := w.targets[id].FailureDomain
 	w.mu.Unlock()
 	f := New(Config{
-		Self: id, FailureDomain: domain, Region: regions[domain], Regions: regions, PeerAddress: HostOf, Announce: w.announce(id), PropagationBound: w.propagationBound, FirstStart: w.firstStart,
+		SelfAddress: id, FailureDomain: domain, Region: regions[domain], Regions: regions, PeerAddress: HostOf, Announce: w.announce(id), PropagationBound: w.propagationBound, FirstStart: w.firstStart,
 	}, &link{world: w, node: id}, &link{world: w, node: id}, wallClock{},
 		&log.Logger{Level: log.FatalLevel, Writer: &log.IOWriter{Writer: io.Discard}}, metrics.New(), func(*mesh.View) {})
 	ctx, stop := context.WithCancel(context.Background())
