--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -52,15 +52,15 @@
 
 // Route explains the requests of one route.
 type Route struct {
-	Name     string       `json:"name"`
-	Location string       `json:"place,omitempty"`
-	Prefix   string       `json:"prefix"`
-	Service  string       `json:"service"`
-	Class    LocatedValue `json:"class"`
-	Deadline LocatedValue `json:"deadline"`
-	Stall    LocatedValue `json:"stall"`
-	Runs     LocatedValue `json:"runs"`
-	Spill    LocatedValue `json:"spill"`
+	Name         string       `json:"name"`
+	Location     string       `json:"place,omitempty"`
+	Prefix       string       `json:"prefix"`
+	Service      string       `json:"service"`
+	Class        LocatedValue `json:"class"`
+	Deadline     LocatedValue `json:"deadline"`
+	StallTimeout LocatedValue `json:"stall"`
+	Execution    LocatedValue `json:"runs"`
+	Spill        LocatedValue `json:"spill"`
 	// Share, Limit and LongLimit are in slots, both of one target and of all
 	// committed targets. LongLimit is empty for routes that are not long.
 	Share     LocatedValue `json:"share"`
@@ -224,12 +224,12 @@
 	rank := e.contract.ClassRank(route.Class)
 	result := Route{
 		Name: route.Name, Location: key("name"), Prefix: route.Prefix, Service: route.Service,
-		Class:    LocatedValue{fmt.Sprintf("%s, place %d of %d in the queue's order", route.Class, rank+1, len(e.contract.Classes)), key("class")},
-		Deadline: LocatedValue{route.Deadline.Std().String() + " to the first byte", key("deadline")},
-		Stall:    LocatedValue{route.StallTimeout.Std().String() + " between two bytes", key("stall")},
-		Runs:     LocatedValue{executionText(route), key("idempotent")},
-		Spill:    LocatedValue{string(cmp.Or(route.Spill, contract.SpillAnywhere)), key("spill")},
-		Reach:    e.reach(route),
+		Class:        LocatedValue{fmt.Sprintf("%s, place %d of %d in the queue's order", route.Class, rank+1, len(e.contract.Classes)), key("class")},
+		Deadline:     LocatedValue{route.Deadline.Std().String() + " to the first byte", key("deadline")},
+		StallTimeout: LocatedValue{route.StallTimeout.Std().String() + " between two bytes", key("stall")},
+		Execution:    LocatedValue{executionText(route), key("idempotent")},
+		Spill:        LocatedValue{string(cmp.Or(route.Spill, contract.SpillAnywhere)), key("spill")},
+		Reach:        e.reach(route),
 	}
 	result.Share, result.Limit, result.LongLimit = e.slotLimits(route)
 	result.Conditions = loadConditions(result)
