--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -146,7 +146,7 @@
 		QueuePerSlot: s.Requests.QueuePerSlot,
 		MaxAttempts:  s.Requests.MaxAttempts,
 		Linger:       linger,
-		DrainTimeout: s.Requests.Drain.Std(),
+		DrainTimeout: s.Requests.DrainTimeout.Std(),
 		Seed:         uint64(time.Now().UnixNano()),
 	}
 }
--- a/internal/adapter/settings/check.go
+++ b/internal/adapter/settings/check.go
@@ -83,7 +83,7 @@
 	c.positive("platform.watch_timeout", int64(s.Platform.WatchTimeout))
 	c.positive("platform.list_interval", int64(s.Platform.ListInterval))
 	c.positive("peers.heartbeat", int64(s.Peers.Heartbeat))
-	c.positive("requests.drain", int64(s.Requests.Drain))
+	c.positive("requests.drain", int64(s.Requests.DrainTimeout))
 	c.durations(s)
 	if !slices.Contains([]string{"debug", "info", "warn", "error"}, s.Log.Level) {
 		c.add(CodeBadLevel, "log.level", "write debug, info, warn or error", "level %q is unknown", s.Log.Level)
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -84,7 +84,7 @@
 	MaxAttempts    int               `toml:"max_attempts"`
 	MaxHeaderBytes int               `toml:"max_header_bytes"`
 	MaxBodyBytes   int64             `toml:"max_body_bytes"`
-	Drain          tomlfile.Duration `toml:"drain"`
+	DrainTimeout   tomlfile.Duration `toml:"drain"`
 }
 
 // Log configures the log on standard error.
@@ -115,7 +115,7 @@
 			MaxAttempts:    3,
 			MaxHeaderBytes: 32 << 10,
 			MaxBodyBytes:   64 << 20,
-			Drain:          tomlfile.Duration(5 * time.Minute),
+			DrainTimeout:   tomlfile.Duration(5 * time.Minute),
 		},
 		Log: Log{Level: "info"},
 	}
