--- a/cmd/tamarackd/sidecar_loop.go
+++ b/cmd/tamarackd/sidecar_loop.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		c.log.Warn().Err(err).Msg("slow caller connections stay open")
 	}
-	c.meter.Count(port.MetricSlowConnections, "", closed)
+	c.meter.Count(port.MetricTimedOutConnections, "", closed)
 }
 
 // watchSettings reloads the settings file after a signal, or when its modification
--- a/internal/port/metric.go
+++ b/internal/port/metric.go
@@ -38,9 +38,9 @@
 	// MetricCrashesDropped counts crash notices dropped because they arrived faster
 	// than the node accepts them.
 	MetricCrashesDropped Metric = "tamarack_crash_notices_dropped_total"
-	// MetricSlowConnections counts callers' connections closed because the caller was
-	// too slow.
-	MetricSlowConnections Metric = "tamarack_connections_overdue_total"
+	// MetricTimedOutConnections counts callers' connections closed because they exceeded
+	// the header or idle timeout.
+	MetricTimedOutConnections Metric = "tamarack_connections_overdue_total"
 	// MetricResumed counts bodies continued from another target, by route.
 	MetricResumed Metric = "tamarack_bodies_resumed_total"
 	// MetricApplied counts applied versions.
