--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -134,8 +134,8 @@
 // End counts an attempt that has ended.
 func (s *Stats) End() { s.openAttempts-- }
 
-// UpdateLoad records a load report of the target.
-func (s *Stats) UpdateLoad(now time.Time, load Load) {
+// RecordLoad records a load report of the target.
+func (s *Stats) RecordLoad(now time.Time, load Load) {
 	s.load = load
 	s.loadReportedAt = now
 	s.openAtReport = s.openAttempts
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,7 +12,7 @@
 
 func target(distance Distance, load Load) *Stats {
 	s := &Stats{Distance: distance, Slots: load.Slots}
-	s.UpdateLoad(start, load)
+	s.RecordLoad(start, load)
 	return s
 }
 
--- a/internal/proxy/choose_test.go
+++ b/internal/proxy/choose_test.go
@@ -66,7 +66,7 @@
 	}{
 		{"near targets are free", func(*forwarder, candidate) {}, false},
 		{"near targets are certain to be late", func(_ *forwarder, c candidate) {
-			c.stats.UpdateLoad(now, placement.Load{Running: 9, Waiting: 30, Slots: 9, Hold: time.Second})
+			c.stats.RecordLoad(now, placement.Load{Running: 9, Waiting: 30, Slots: 9, Hold: time.Second})
 		}, true},
 		{"near targets fail", func(_ *forwarder, c candidate) {
 			for range 30 {
--- a/internal/proxy/flight.go
+++ b/internal/proxy/flight.go
@@ -253,7 +253,7 @@
 
 func (p *Proxy) recordLoad(now time.Time, stats *placement.Stats, report loadReport) {
 	if report.Slots > 0 {
-		stats.UpdateLoad(now, report.Load)
+		stats.RecordLoad(now, report.Load)
 	}
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -160,7 +160,7 @@
 			f := newFleet(t, test.nodes)
 			if test.nodes > 1 {
 				f.proxies[0].stats["t1"].RecordFailure(time.Now())
-				f.proxies[0].stats["t1"].UpdateLoad(time.Now(), placement.Load{Running: testSlots * min(test.waiting, 1), Waiting: test.waiting, Slots: testSlots})
+				f.proxies[0].stats["t1"].RecordLoad(time.Now(), placement.Load{Running: testSlots * min(test.waiting, 1), Waiting: test.waiting, Slots: testSlots})
 			}
 			if test.refuses {
 				f.proxies[1].gate.Configure(admissionTerms(0))
