--- a/internal/admission/customer.go
+++ b/internal/admission/customer.go
@@ -62,9 +62,9 @@
 	return c
 }
 
-// FloorSlots converts a part of the slots to whole slots, rounding down.
-func FloorSlots(part float64, slots int) int {
-	return int(math.Floor(part*float64(slots) + roundingTolerance))
+// FloorSlots converts a fraction of the slots to whole slots, rounding down.
+func FloorSlots(fraction float64, slots int) int {
+	return int(math.Floor(fraction*float64(slots) + roundingTolerance))
 }
 
 // grant applies the terms. Guarantees are computed from the current number of slots.
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -261,7 +261,7 @@
 // shed simulates that the target refuses a request which the node has admitted.
 func (m *model) shed() {
 	if id, ok := smallestID(m.running); ok {
-		m.apply(m.q.Shed(m.now))
+		m.apply(m.q.RecordShed(m.now))
 		m.finish(id)
 		m.apply(m.q.Release(m.now, id))
 		m.lackingSince = map[string]time.Time{}
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -314,7 +314,7 @@
 	f := newFixture(t, 4, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
 	ids := f.admit(4, Request{Customer: "a"})
 	for _, id := range ids[2:] {
-		f.q.Shed(f.now)
+		f.q.RecordShed(f.now)
 		f.release(id)
 	}
 	assert.Equal(t, f.q.Slots(), 2)
@@ -333,7 +333,7 @@
 	f := newFixture(t, 2, map[string]Share{"a": {Guaranteed: 1, Limit: 1}})
 	f.admit(1, Request{Customer: "a", Long: true})
 	shed := f.admit(1, Request{Customer: "a"})[0]
-	f.q.Shed(f.now)
+	f.q.RecordShed(f.now)
 	f.release(shed)
 	waiting := f.enqueue(1, Request{Customer: "a"})
 	assert.Equal(t, len(f.q.Tick(f.now).Started), 0)
--- a/internal/admission/terms.go
+++ b/internal/admission/terms.go
@@ -75,12 +75,12 @@
 	q.borrowedLongLimit = FloorSlots(q.terms.LongBorrowLimit, slots) + FloorSlots(max(1-claimed, 0), slots)
 }
 
-// Shed records that the target refused a request although the node counted a free slot
+// RecordShed records that the target refused a request although the node counted a free slot
 // for it. Load reports may be too low, but a shed proves that the target accepts fewer
 // requests than run now. The node limits itself to that number, and restores one slot
 // for each shedRecovery without a shed, so that the target is not flooded again. The
 // shed request itself must still be released.
-func (q *Queue) Shed(now time.Time) Changes {
+func (q *Queue) RecordShed(now time.Time) Changes {
 	q.begin(now)
 	accepted := max(q.running-1, 1)
 	if accepted < q.slots {
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -177,7 +177,7 @@
 	}
 	now := g.clock.Now()
 	g.breaker.RecordShed(now, g.queue.Running() == 1)
-	g.notifyWaiters(g.queue.Shed(now))
+	g.notifyWaiters(g.queue.RecordShed(now))
 }
 
 // Counts returns the number of requests that hold a slot and the number that wait for
