--- a/internal/load/cli/cli.go
+++ b/internal/load/cli/cli.go
@@ -108,11 +108,11 @@
 // write writes the report to the outputs that the flags select, and returns
 // ErrWrongResponse if it has a wrong response.
 func (f *flags) write(c *cobra.Command, r *report.Report) error {
-	r.Text(c.OutOrStdout())
-	if err := toFile(f.json, r.JSON); err != nil {
+	r.WriteText(c.OutOrStdout())
+	if err := toFile(f.json, r.WriteJSON); err != nil {
 		return err
 	}
-	if err := toFile(f.svg, r.SVG); err != nil {
+	if err := toFile(f.svg, r.WriteSVG); err != nil {
 		return err
 	}
 	for i := range r.Runs {
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -86,8 +86,8 @@
 	return curve
 }
 
-// JSON writes the report as indented JSON.
-func (r *Report) JSON(w io.Writer) error {
+// WriteJSON writes the report as indented JSON.
+func (r *Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -24,7 +24,7 @@
 func TestPlotIsWellFormed(t *testing.T) {
 	for _, r := range []Report{exampleReport(t), {}} {
 		var out bytes.Buffer
-		assert.NilError(t, r.SVG(&out))
+		assert.NilError(t, r.WriteSVG(&out))
 		decoder := xml.NewDecoder(&out)
 		for {
 			_, err := decoder.Token()
@@ -39,7 +39,7 @@
 func TestTextShowsLatencyAndOutcomes(t *testing.T) {
 	r := exampleReport(t)
 	var out bytes.Buffer
-	r.Text(&out)
+	r.WriteText(&out)
 	assert.Check(t, strings.Contains(out.String(), "p50    1.499"), out.String())
 	assert.Check(t, strings.Contains(out.String(), "answered=1000"), out.String())
 }
--- a/internal/report/svg.go
+++ b/internal/report/svg.go
@@ -24,9 +24,9 @@
 // maxNines is the end of the horizontal axis, in nines: 1 - 10^-4.
 const maxNines = 4.0
 
-// SVG plots each kind of each run: the fraction of responses, on a scale with equal
+// WriteSVG plots each kind of each run: the fraction of responses, on a scale with equal
 // distances between 90 %, 99 % and 99.9 %, against the latency on a log scale.
-func (r *Report) SVG(w io.Writer) error {
+func (r *Report) WriteSVG(w io.Writer) error {
 	p := newPlot(r)
 	p.writeHeader(w, r.Command)
 	p.writeAxes(w)
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Text writes the report as text.
-func (r *Report) Text(w io.Writer) {
+// WriteText writes the report as text.
+func (r *Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "%s\n", r.Command)
 	for i := range r.Runs {
 		r.Runs[i].text(w)
