--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -155,7 +155,7 @@
 	}
 	for i := range n.Blocks {
 		b := &n.Blocks[i]
-		l.addBlock(b.Request, &block{entry: l.nextEntry(from, now, b.Age), times: b.Times})
+		l.addBlock(b.Request, &block{entry: l.nextEntry(from, now, b.Age), times: b.Count})
 	}
 	for i := range n.Crashes {
 		c := &n.Crashes[i]
@@ -298,7 +298,7 @@
 	}
 	for request, b := range l.blocks {
 		if lacks(&b.entry) {
-			notice.Blocks = append(notice.Blocks, Block{Request: request, Age: now.Sub(b.at), Times: b.times})
+			notice.Blocks = append(notice.Blocks, Block{Request: request, Age: now.Sub(b.at), Count: b.times})
 		}
 	}
 	return notice, l.number
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -115,7 +115,7 @@
 func TestBlockDurationIsBounded(t *testing.T) {
 	for _, times := range []int{-1, 0, 1, 1 << 62} {
 		l := NewLedger()
-		l.Merge(start, 1, &Notice{Blocks: []Block{{Request: poison, Times: times}}})
+		l.Merge(start, 1, &Notice{Blocks: []Block{{Request: poison, Count: times}}})
 		left := l.BlockRemaining(start, poison)
 		assert.Assert(t, left >= initialBlockDuration && left <= maxBlockDuration, "times %d: %s", times, left)
 	}
@@ -137,7 +137,7 @@
 		for _, request := range c.Suspects[:maxSuspects] {
 			l.RecordCompletion(now, request)
 		}
-		l.Merge(now, 1, &Notice{Blocks: []Block{{Request: Fingerprint(id), Times: 1}}})
+		l.Merge(now, 1, &Notice{Blocks: []Block{{Request: Fingerprint(id), Count: 1}}})
 	}
 	assert.Equal(t, len(l.crashes), maxCrashes)
 	assert.Assert(t, len(l.completed) <= maxCompleted)
--- a/internal/quarantine/notice.go
+++ b/internal/quarantine/notice.go
@@ -40,6 +40,6 @@
 	Request Fingerprint `cbor:"r"`
 	// Age is the time since its last crash.
 	Age time.Duration `cbor:"a"`
-	// Times is how often the request has been blocked.
-	Times int `cbor:"n"`
+	// Count is how often the request has been blocked.
+	Count int `cbor:"n"`
 }
