--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -32,8 +32,8 @@
 	Failed Outcome = "failed"
 	// Broken is a connection that closed or timed out after the request was sent.
 	Broken Outcome = "broken"
-	// Unsent is a request for which no connection could be opened.
-	Unsent Outcome = "unsent"
+	// Unreachable is a request for which no connection could be opened.
+	Unreachable Outcome = "unsent"
 	// Wrong is a response that belongs to another request, or is truncated without
 	// an error.
 	Wrong Outcome = "wrong"
@@ -171,7 +171,7 @@
 
 func (c *caller) send(request *http.Request, id string, size int) (Outcome, int, string) {
 	if err := c.connection.open(); err != nil {
-		return Unsent, 0, err.Error()
+		return Unreachable, 0, err.Error()
 	}
 	response, content, err := c.connection.send(request, callerTimeout)
 	if err != nil {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -99,7 +99,7 @@
 	if !r.Idempotent && runs > 1 {
 		found = append(found, finding(AtMostOnce, r, "ran %d times", runs)...)
 	}
-	if (r.Outcome == Refused || r.Outcome == Unsent || r.Outcome == Unrouted) && runs > 0 {
+	if (r.Outcome == Refused || r.Outcome == Unreachable || r.Outcome == Unrouted) && runs > 0 {
 		found = append(found, finding(RefusedNeverRuns, r, "%s with status %d, but ran", r.Outcome, r.Status)...)
 	}
 	return found
--- a/internal/soak/cli/cli.go
+++ b/internal/soak/cli/cli.go
@@ -203,7 +203,7 @@
 
 func outcomes(counts map[soak.Outcome]int) string {
 	text, total := "", 0
-	for _, outcome := range []soak.Outcome{soak.Answered, soak.Refused, soak.Unrouted, soak.Failed, soak.Broken, soak.Unsent, soak.Wrong} {
+	for _, outcome := range []soak.Outcome{soak.Answered, soak.Refused, soak.Unrouted, soak.Failed, soak.Broken, soak.Unreachable, soak.Wrong} {
 		total += counts[outcome]
 		text += fmt.Sprintf(", %d %s", counts[outcome], outcome)
 	}
