--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -48,7 +48,7 @@
 func NewHTTPCaller(config Config, digest func(path string, size int64) string) *HTTPCaller {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: config.InFlight,
+		MaxIdleConnsPerHost: config.InFlightLimit,
 		DisableCompression:  true,
 	}
 	return &HTTPCaller{
--- a/internal/load/cli/cli.go
+++ b/internal/load/cli/cli.go
@@ -78,7 +78,7 @@
 	set.Float64Var(&f.config.Rate, "rate", 100, "calls per second")
 	set.DurationVar(&f.config.Duration, "duration", 10*time.Second, "how long calls are sent and counted")
 	set.DurationVar(&f.config.WarmUp, "warm-up", 2*time.Second, "how long calls are sent before they are counted")
-	set.IntVar(&f.config.InFlight, "in-flight", 512, "maximum calls in flight; calls above it are counted as not sent")
+	set.IntVar(&f.config.InFlightLimit, "in-flight", 512, "maximum calls in flight; calls above it are counted as not sent")
 	set.StringVar(&f.mix, "mix", "tally=90,return=8,archive=2", "weights of the kinds of calls")
 	set.Int64Var(&f.config.ArchiveBytes, "archive-bytes", 1<<20, "size of one archive")
 	set.DurationVar(&f.config.Timeout, "timeout", 30*time.Second, "timeout of a call")
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -33,10 +33,10 @@
 	// WarmUp is the time before Duration in which calls are sent but not counted.
 	WarmUp   time.Duration
 	Duration time.Duration
-	// InFlight bounds the calls in flight. A call over this bound is counted as not
+	// InFlightLimit bounds the calls in flight. A call over this bound is counted as not
 	// sent rather than sent late.
-	InFlight int
-	Mix      Mix
+	InFlightLimit int
+	Mix           Mix
 	// ArchiveBytes is the size of one archive.
 	ArchiveBytes int64
 	// Timeout bounds one call.
@@ -57,7 +57,7 @@
 		return errors.Errorf("warm-up and duration together must be above 0 and at most %s", MaxDuration)
 	case c.totalCalls() > MaxCalls:
 		return errors.Errorf("%d calls exceed the limit of %d; lower the rate or the duration", c.totalCalls(), MaxCalls)
-	case c.InFlight < 1 || c.InFlight > MaxInFlight:
+	case c.InFlightLimit < 1 || c.InFlightLimit > MaxInFlight:
 		return errors.Errorf("calls in flight must be 1 to %d", MaxInFlight)
 	case c.ArchiveBytes < 1 || c.ArchiveBytes > MaxArchiveBytes:
 		return errors.Errorf("an archive must have 1 to %d bytes", MaxArchiveBytes)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -17,7 +17,7 @@
 )
 
 func testConfig() Config {
-	return Config{Entries: []string{"127.0.0.1:8300"}, Rate: 100, Duration: 4 * time.Second, InFlight: 1000,
+	return Config{Entries: []string{"127.0.0.1:8300"}, Rate: 100, Duration: 4 * time.Second, InFlightLimit: 1000,
 		Mix: Mix{Tally: 1}, ArchiveBytes: 1, Timeout: 10 * time.Second}
 }
 
@@ -56,7 +56,7 @@
 func TestCallsPastTheBoundAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig()
-		config.InFlight = 3
+		config.InFlightLimit = 3
 		run, err := Run(t.Context(), config, callerFunc(func(ctx context.Context, _ Call) Outcome {
 			<-ctx.Done()
 			return Broken
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -31,7 +31,7 @@
 	}
 	g := &generator{
 		config: config, caller: caller, recorder: newRecorder(),
-		random: rand.New(rand.NewPCG(config.Seed, 0)), slots: make(chan struct{}, config.InFlight),
+		random: rand.New(rand.NewPCG(config.Seed, 0)), slots: make(chan struct{}, config.InFlightLimit),
 	}
 	start := time.Now()
 	var signals sync.WaitGroup
--- a/test/process/load_test.go
+++ b/test/process/load_test.go
@@ -81,7 +81,7 @@
 	f.t.Helper()
 	config := load.Config{
 		Entries: []string{f.nodes["a-archive"].callers}, Token: testToken, Rate: 100, Duration: 2 * time.Second,
-		InFlight: 200, Mix: load.Mix{load.Tally: 6, load.Return: 3, load.Archive: 1}, ArchiveBytes: 256 << 10,
+		InFlightLimit: 200, Mix: load.Mix{load.Tally: 6, load.Return: 3, load.Archive: 1}, ArchiveBytes: 256 << 10,
 		Timeout: 10 * time.Second, Seed: 1,
 	}
 	for _, text := range signals {
--- a/test/process/request_cost_test.go
+++ b/test/process/request_cost_test.go
@@ -106,7 +106,7 @@
 	t.Helper()
 	config := load.Config{
 		Entries: []string{w.address}, Token: testToken, Rate: rate, WarmUp: time.Second, Duration: pairedSeconds * time.Second,
-		InFlight: 200, Mix: load.Mix{load.Tally: 1}, ArchiveBytes: 1 << 20, Timeout: 5 * time.Second, Seed: 1,
+		InFlightLimit: 200, Mix: load.Mix{load.Tally: 1}, ArchiveBytes: 1 << 20, Timeout: 5 * time.Second, Seed: 1,
 	}
 	caller := load.NewHTTPCaller(config, target.ArchiveDigest)
 	defer caller.Close()
