--- a/cmd/tamarackd/sidecar_stop.go
+++ b/cmd/tamarackd/sidecar_stop.go
@@ -25,7 +25,7 @@
 func (c *sidecar) stop() {
 	begin := time.Now()
 	c.log.Info().Int64("open", c.proxy.InFlight()).Msg("stopping")
-	deadline := begin.Add(c.settings.Grace - killMargin)
+	deadline := begin.Add(c.settings.StopGrace - killMargin)
 	c.proxy.Stop(deadline)
 	wait.Sleep(context.Background(), removalDelay)
 	c.proxy.StopLocal()
