--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -135,7 +135,7 @@
 		Name: m.name, IP: m.private, Zone: m.zone, Region: zones[m.zone], Service: m.service,
 		Target: hostPort(m.public, portTarget), Callers: hostPort(m.private, portCallers), Ready: hostPort(m.private, portReady),
 		PeerPort: portPeers, Store: hostPort(storeHost, portStore), Zones: zones,
-		Bounds: userfiles.Bounds{Grace: grace, RetryRatio: retryRatio, RetrySlack: retrySlack},
+		Bounds: userfiles.Bounds{StopGrace: grace, RetryRatio: retryRatio, RetrySlack: retrySlack},
 	}
 	settings, err := node.Settings()
 	if err != nil {
@@ -308,7 +308,7 @@
 	version := f.version
 	f.mu.Unlock()
 	route := func(prefix, service string, repeatable bool, attempts int) userfiles.Route {
-		return userfiles.Route{Name: prefix, Prefix: prefix, Service: service, Repeatable: repeatable, Timeout: routeTimeout, MaxAttempts: attempts}
+		return userfiles.Route{Name: prefix, Prefix: prefix, Service: service, Idempotent: repeatable, Timeout: routeTimeout, MaxAttempts: attempts}
 	}
 	routes := []userfiles.Route{
 		route(prefixRead, services[0], true, 2), route(prefixFile, services[1], false, 2),
--- a/standin/userfiles/userfiles.go
+++ b/standin/userfiles/userfiles.go
@@ -26,7 +26,7 @@
 
 // Bounds are the limits in a node's settings.
 type Bounds struct {
-	Grace      time.Duration
+	StopGrace  time.Duration
 	RetryRatio float64
 	RetrySlack float64
 }
@@ -46,7 +46,7 @@
 		},
 		"Platform": object{"Platform": object{"Address": n.Store}},
 		"Terms": object{"Bounds": object{
-			"Grace": n.Bounds.Grace.String(), "RetryBudgetRatio": n.Bounds.RetryRatio, "BudgetSlack": n.Bounds.RetrySlack,
+			"Grace": n.Bounds.StopGrace.String(), "RetryBudgetRatio": n.Bounds.RetryRatio, "BudgetSlack": n.Bounds.RetrySlack,
 		}},
 	})
 }
@@ -54,8 +54,8 @@
 // Route is one route of a configuration.
 type Route struct {
 	Name, Prefix, Service string
-	// Repeatable is set if requests of the route may run more than once.
-	Repeatable  bool
+	// Idempotent is set if requests of the route may run more than once.
+	Idempotent  bool
 	Timeout     time.Duration
 	MaxAttempts int
 }
@@ -69,7 +69,7 @@
 	routeObjects := []object{}
 	for _, route := range routes {
 		routeObjects = append(routeObjects, object{
-			"Name": route.Name, "Host": Host, "PathPrefix": route.Prefix, "Kind": kinds[route.Repeatable],
+			"Name": route.Name, "Host": Host, "PathPrefix": route.Prefix, "Kind": kinds[route.Idempotent],
 			"Timeout": route.Timeout.String(), "TargetLatency": (route.Timeout / 4).String(), "Priority": 1,
 			"Service": route.Service, "MaxAttempts": route.MaxAttempts,
 		})
--- a/test/process/reload_test.go
+++ b/test/process/reload_test.go
@@ -24,7 +24,7 @@
 	node := userfiles.Node{
 		Name: "n", IP: host, Zone: "a", Region: "r", Service: "s", Target: host + ":8628", Callers: host + ":8629",
 		Ready: host + ":8625", PeerPort: 7600, Store: host + ":8627", Zones: map[string]string{"a": "r"},
-		Bounds: userfiles.Bounds{Grace: 6 * time.Second, RetryRatio: 0.2, RetrySlack: 10},
+		Bounds: userfiles.Bounds{StopGrace: 6 * time.Second, RetryRatio: 0.2, RetrySlack: 10},
 	}
 	settings, err := node.Settings()
 	assert.NilError(t, err)
