--- a/internal/logfield/logfield.go
+++ b/internal/logfield/logfield.go
@@ -20,9 +20,9 @@
 	// Outcome is the result of a decision, one of the values of Ending.
 	Outcome Name = "outcome"
 	Reason  Name = "reason"
-	// Offers is the number of attempts, and Arrivals the number of those that may
+	// Attempts is the number of attempts, and Arrivals the number of those that may
 	// have reached a target.
-	Offers   Name = "offers"
+	Attempts Name = "offers"
 	Arrivals Name = "arrivals"
 	Status   Name = "status"
 	// Elapsed is the time since the request was read, in milliseconds.
--- a/internal/proxy/decisions.go
+++ b/internal/proxy/decisions.go
@@ -82,7 +82,7 @@
 // withRequest adds the state of the request on which decisions are based.
 func (l *requestLog) withRequest(entry *log.Entry, f *forwarder, now time.Time) *log.Entry {
 	return entry.Str(logfield.Request, f.id).Str(logfield.Fingerprint, f.fingerprint.String()).Str(logfield.Route, f.route.Name).Str(logfield.Service, f.service).
-		Int(logfield.Offers, f.attempts).Int(logfield.Arrivals, f.arrivals).
+		Int(logfield.Attempts, f.attempts).Int(logfield.Arrivals, f.arrivals).
 		Int64(logfield.Elapsed, millis(now.Sub(f.began))).Int64(logfield.TimeLeft, millis(f.deadline.Sub(now))).
 		Uint64(logfield.Version, f.snapshot.Table.Config.Version).Int64(logfield.ViewAge, millis(l.viewAge()))
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -240,7 +240,7 @@
 			f.proxies[0].ServeCaller(w, r)
 			assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 			lines := f.trace(t)
-			assert.Equal(t, lines[len(lines)-1].Fields[logfield.Offers], test.offers)
+			assert.Equal(t, lines[len(lines)-1].Fields[logfield.Attempts], test.offers)
 		})
 	}
 }
