--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -29,7 +29,7 @@
 }
 
 // send starts a server, sends the raw text to it and returns the response and its outcome.
-func send(t *testing.T, entry Entry, raw string) (*http.Response, callhttp.Outcome) {
+func send(t *testing.T, entry Entry, raw string) (*http.Response, callhttp.ErrorBody) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -43,7 +43,7 @@
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	assert.NilError(t, err)
 	defer response.Body.Close()
-	var outcome callhttp.Outcome
+	var outcome callhttp.ErrorBody
 	content, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	_ = json.Unmarshal(content, &outcome)
