--- a/internal/adapter/callhttp/outcome.go
+++ b/internal/adapter/callhttp/outcome.go
@@ -102,12 +102,12 @@
 	return buf.Bytes(), errors.Wrap(err, "refusal")
 }
 
-func writeOutcome(w http.ResponseWriter, status int, outcome ErrorBody) {
+func writeOutcome(w http.ResponseWriter, status int, body ErrorBody) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	// The error is ignored: if the caller has disconnected, there is nobody else to
 	// report it to.
-	_ = json.NewEncoder(w).Encode(outcome)
+	_ = json.NewEncoder(w).Encode(body)
 }
 
 // maxOutcomeBytes limits the size of the JSON body of a peer's outcome.
@@ -122,15 +122,15 @@
 		return nil
 	}
 	defer response.Body.Close()
-	var outcome ErrorBody
+	var body ErrorBody
 	// The error is ignored: the header is sufficient if the body can't be decoded.
-	_ = json.NewDecoder(io.LimitReader(response.Body, maxOutcomeBytes)).Decode(&outcome)
+	_ = json.NewDecoder(io.LimitReader(response.Body, maxOutcomeBytes)).Decode(&body)
 	if kind == OutcomeDidNotRun {
 		return &port.Refusal{
 			Reason:     port.Reason(response.Header.Get(HeaderReason)),
-			RetryAfter: time.Duration(outcome.RetryAfterMS) * time.Millisecond,
-			Detail:     outcome.Detail,
+			RetryAfter: time.Duration(body.RetryAfterMS) * time.Millisecond,
+			Detail:     body.Detail,
 		}
 	}
-	return &port.UnknownOutcome{Stage: "owner", Cause: errors.New(outcome.Detail)}
+	return &port.UnknownOutcome{Stage: "owner", Cause: errors.New(body.Detail)}
 }
