--- a/internal/adapter/peertls/issue.go
+++ b/internal/adapter/peertls/issue.go
@@ -24,9 +24,10 @@
 	Key         []byte
 }
 
-// IssueAuthority creates a self-signed certificate authority for peers.
-func IssueAuthority(name string, now time.Time, life time.Duration) (*Pair, error) {
-	template, key, err := newTemplate(name, now, life)
+// IssueAuthority creates a self-signed certificate authority for peers. The name is its
+// common name; the certificate is valid for the lifetime after now.
+func IssueAuthority(name string, now time.Time, lifetime time.Duration) (*Pair, error) {
+	template, key, err := newTemplate(name, now, lifetime)
 	if err != nil {
 		return nil, err
 	}
@@ -36,13 +37,14 @@
 	return sign(template, template, key, key)
 }
 
-// IssuePeer creates a peer certificate that is signed by the authority.
-func IssuePeer(authority *Pair, name string, now time.Time, life time.Duration) (*Pair, error) {
+// IssuePeer creates the peer certificate of a VM, signed by the authority and valid for
+// the lifetime after now.
+func IssuePeer(authority *Pair, vmID string, now time.Time, lifetime time.Duration) (*Pair, error) {
 	parent, err := tls.X509KeyPair(authority.Certificate, authority.Key)
 	if err != nil {
 		return nil, errors.Wrap(err, "authority")
 	}
-	template, key, err := newTemplate(name, now, life)
+	template, key, err := newTemplate(vmID, now, lifetime)
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +53,7 @@
 	return sign(template, parent.Leaf, key, parent.PrivateKey)
 }
 
-func newTemplate(name string, now time.Time, life time.Duration) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+func newTemplate(name string, now time.Time, lifetime time.Duration) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "peer key")
@@ -65,7 +67,7 @@
 		Subject:      pkix.Name{CommonName: name},
 		// An hour of tolerance for VMs whose clocks are behind.
 		NotBefore: now.Add(-time.Hour),
-		NotAfter:  now.Add(life),
+		NotAfter:  now.Add(lifetime),
 	}
 	return template, key, nil
 }
