--- a/internal/adapter/platformhttp/platformhttp.go
+++ b/internal/adapter/platformhttp/platformhttp.go
@@ -40,14 +40,15 @@
 
 var _ port.Platform = (*Client)(nil)
 
-// New returns a client of the platform at a base URL, for example "http://10.0.0.5:7000".
-func New(base string, read, watch time.Duration) *Client {
+// New returns a client of the platform at a base URL, for example "http://10.0.0.5:7000". The
+// watch timeout must be longer than the platform's own, after which it ends a watch.
+func New(base string, readTimeout, watchTimeout time.Duration) *Client {
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: read}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: readTimeout}).DialContext,
 		MaxIdleConnsPerHost: 4,
 		IdleConnTimeout:     time.Minute,
 	}
-	return &Client{base: base, http: &http.Client{Transport: transport}, readTimeout: read, watchTimeout: watch}
+	return &Client{base: base, http: &http.Client{Transport: transport}, readTimeout: readTimeout, watchTimeout: watchTimeout}
 }
 
 // Manifest implements port.Platform.
