--- a/internal/routing/resume/resume.go
+++ b/internal/routing/resume/resume.go
@@ -37,16 +37,16 @@
 // NewPlan returns the plan for a response, or false if an interruption must be
 // passed on to the caller. Only a strong ETag proves that another target's bytes
 // are identical.
-func NewPlan(a Response) (*Plan, bool) {
-	if !isStrong(a.ETag) || a.Length <= 0 {
+func NewPlan(response Response) (*Plan, bool) {
+	if !isStrong(response.ETag) || response.Length <= 0 {
 		return nil, false
 	}
-	switch a.Status {
+	switch response.Status {
 	case statusOK:
-		return &Plan{etag: a.ETag, last: a.Length - 1, total: a.Length}, true
+		return &Plan{etag: response.ETag, last: response.Length - 1, total: response.Length}, true
 	case statusPartial:
-		plan := &Plan{etag: a.ETag}
-		if err := plan.parseRange(a.ContentRange); err != nil || plan.last-plan.first+1 != a.Length {
+		plan := &Plan{etag: response.ETag}
+		if err := plan.parseRange(response.ContentRange); err != nil || plan.last-plan.first+1 != response.Length {
 			return nil, false
 		}
 		return plan, true
@@ -71,29 +71,29 @@
 func (p *Plan) ETag() string { return p.etag }
 
 // Range returns the value of the Range header that requests the rest of the body
-// after the given number of bytes.
-func (p *Plan) Range(after int64) string {
-	return fmt.Sprintf("bytes=%d-%d", p.first+after, p.last)
+// after the bytes that were already sent to the caller.
+func (p *Plan) Range(sent int64) string {
+	return fmt.Sprintf("bytes=%d-%d", p.first+sent, p.last)
 }
 
-// Check returns an error if a response does not continue the body after the given
-// number of bytes.
-func (p *Plan) Check(after int64, a Response) error {
+// Check returns an error if a response does not continue the body after the
+// bytes that were already sent to the caller.
+func (p *Plan) Check(sent int64, response Response) error {
 	var got Plan
-	if a.Status != statusPartial {
-		return errors.Errorf("status %d, expected 206", a.Status)
+	if response.Status != statusPartial {
+		return errors.Errorf("status %d, expected 206", response.Status)
 	}
-	if a.ETag != p.etag {
-		return errors.Errorf("ETag %s, expected %s", a.ETag, p.etag)
+	if response.ETag != p.etag {
+		return errors.Errorf("ETag %s, expected %s", response.ETag, p.etag)
 	}
-	if err := got.parseRange(a.ContentRange); err != nil {
+	if err := got.parseRange(response.ContentRange); err != nil {
 		return err
 	}
-	if got.first != p.first+after || got.last != p.last || got.total != p.total {
-		return errors.Errorf("range %s, expected %s", a.ContentRange, p.Range(after))
+	if got.first != p.first+sent || got.last != p.last || got.total != p.total {
+		return errors.Errorf("range %s, expected %s", response.ContentRange, p.Range(sent))
 	}
-	if a.Length >= 0 && a.Length != got.last-got.first+1 {
-		return errors.Errorf("length %d does not match range %s", a.Length, a.ContentRange)
+	if response.Length >= 0 && response.Length != got.last-got.first+1 {
+		return errors.Errorf("length %d does not match range %s", response.Length, response.ContentRange)
 	}
 	return nil
 }
