--- a/standin/usertarget/target.go
+++ b/standin/usertarget/target.go
@@ -80,11 +80,11 @@
 	random  *rand.Rand
 }
 
-// New returns a target whose requests take the time work on average. Each arrival is
+// New returns a target whose requests take the given service time on average. Each arrival is
 // written to the ledger at once. The function crash must end the process.
-func New(instance, service string, slots int, work time.Duration, ledger io.Writer, crash func()) *Target {
+func New(instance, service string, slots int, serviceTime time.Duration, ledger io.Writer, crash func()) *Target {
 	seed := sha256.Sum256([]byte(instance))
-	return &Target{instance: instance, service: service, slots: slots, meanWork: work, crash: crash, ledger: json.NewEncoder(ledger), random: rand.New(rand.NewChaCha8(seed))}
+	return &Target{instance: instance, service: service, slots: slots, meanWork: serviceTime, crash: crash, ledger: json.NewEncoder(ledger), random: rand.New(rand.NewChaCha8(seed))}
 }
 
 // SetMode replaces the mode.
