--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -307,8 +307,8 @@
 	f.version++
 	version := f.version
 	f.mu.Unlock()
-	route := func(prefix, service string, repeatable bool, attempts int) userfiles.Route {
-		return userfiles.Route{Name: prefix, Prefix: prefix, Service: service, Idempotent: repeatable, Timeout: routeTimeout, MaxAttempts: attempts}
+	route := func(prefix, service string, idempotent bool, attempts int) userfiles.Route {
+		return userfiles.Route{Name: prefix, Prefix: prefix, Service: service, Idempotent: idempotent, Timeout: routeTimeout, MaxAttempts: attempts}
 	}
 	routes := []userfiles.Route{
 		route(prefixRead, services[0], true, 2), route(prefixFile, services[1], false, 2),
