--- a/cmd/tamaracksoak/main.go
+++ b/cmd/tamaracksoak/main.go
@@ -16,7 +16,7 @@
 	// An interrupted run ends the processes that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := cli.NewCommand().ExecuteContext(ctx); err != nil {
+	if err := cli.New().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/internal/soak/cli/cli.go
+++ b/internal/soak/cli/cli.go
@@ -18,8 +18,8 @@
 	"tamarackquay/internal/soak"
 )
 
-// NewCommand returns the root command of tamaracksoak.
-func NewCommand() *cobra.Command {
+// New returns the root command of tamaracksoak.
+func New() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "tamaracksoak",
 		Short:         "Run real nodes under injected faults and check the promises",
