--- a/internal/adapter/peerforward/peerforward.go
+++ b/internal/adapter/peerforward/peerforward.go
@@ -43,12 +43,12 @@
 	dialTimeout = 500 * time.Millisecond
 )
 
-// NewClient returns a client that authenticates itself with the identity.
-func NewClient(identity *peertls.Config, now func() time.Time) *Client {
+// NewClient returns a client that authenticates itself with the TLS configuration.
+func NewClient(tlsConfig *peertls.Config, now func() time.Time) *Client {
 	return &Client{
 		now: now,
 		transport: &http.Transport{
-			DialTLSContext:      dialer(identity.Client),
+			DialTLSContext:      dialer(tlsConfig.Client),
 			MaxIdleConns:        maxIdle,
 			MaxIdleConnsPerHost: maxIdlePerPeer,
 			IdleConnTimeout:     idleTimeout,
