--- a/standin/usertarget/target.go
+++ b/standin/usertarget/target.go
@@ -69,7 +69,7 @@
 type Target struct {
 	instance, service string
 	slots             int
-	meanWork          time.Duration
+	meanServiceTime   time.Duration
 	// crash ends the process of the target.
 	crash func()
 
@@ -84,7 +84,7 @@
 // written to the ledger at once. The function crash must end the process.
 func New(instance, service string, slots int, serviceTime time.Duration, ledger io.Writer, crash func()) *Target {
 	seed := sha256.Sum256([]byte(instance))
-	return &Target{instance: instance, service: service, slots: slots, meanWork: serviceTime, crash: crash, ledger: json.NewEncoder(ledger), random: rand.New(rand.NewChaCha8(seed))}
+	return &Target{instance: instance, service: service, slots: slots, meanServiceTime: serviceTime, crash: crash, ledger: json.NewEncoder(ledger), random: rand.New(rand.NewChaCha8(seed))}
 }
 
 // SetMode replaces the mode.
@@ -117,7 +117,7 @@
 // outcome is how the target handles one request.
 type outcome struct {
 	runs, lost, cut, failed bool
-	work                    time.Duration
+	serviceTime             time.Duration
 }
 
 // recordArrival decides the outcome of a request and writes it to the ledger before
@@ -126,13 +126,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	expected := r.Header.Get(HeaderExpectedInstance)
-	o := outcome{runs: expected == "" || expected == t.instance, work: t.meanWork}
+	o := outcome{runs: expected == "" || expected == t.instance, serviceTime: t.meanServiceTime}
 	full := t.running >= t.slots || t.random.Float64() < t.mode.ShedRate
 	o.runs = o.runs && !full
 	o.lost = t.random.Float64() < t.mode.LossRate
 	o.cut = t.random.Float64() < t.mode.CutRate
 	o.failed = t.random.Float64() < t.mode.FailureRate
-	o.work = time.Duration(float64(t.meanWork) * (0.5 + t.random.Float64()) * max(t.mode.Slowdown, 1))
+	o.serviceTime = time.Duration(float64(t.meanServiceTime) * (0.5 + t.random.Float64()) * max(t.mode.Slowdown, 1))
 	if o.runs {
 		t.running++
 	}
@@ -175,7 +175,7 @@
 		t.crash()
 	}
 	select {
-	case <-time.After(o.work):
+	case <-time.After(o.serviceTime):
 	case <-r.Context().Done():
 		return
 	}
