--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -146,5 +146,5 @@
 	// Set sets the value of a gauge.
 	Set(metric Metric, label string, value float64)
 	// Observe adds a duration to a histogram.
-	Observe(metric Metric, label string, took time.Duration)
+	Observe(metric Metric, label string, duration time.Duration)
 }
