--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -33,8 +33,8 @@
 }
 
 // Observe implements port.Meter.
-func (m *Meter) Observe(metric port.Metric, label string, took time.Duration) {
-	m.set.GetOrCreateHistogram(series(metric, label)).Update(took.Seconds())
+func (m *Meter) Observe(metric port.Metric, label string, duration time.Duration) {
+	m.set.GetOrCreateHistogram(series(metric, label)).Update(duration.Seconds())
 }
 
 func series(metric port.Metric, label string) string {
