--- a/internal/adapter/callhttp/callhttp.go
+++ b/internal/adapter/callhttp/callhttp.go
@@ -20,9 +20,12 @@
 	HeaderReason    = "Tamarack-Reason"
 	HeaderRequestID = "Tamarack-Request-Id"
 	HeaderVersion   = "Tamarack-Version"
-	HeaderOwner     = "Tamarack-Owner"
-	HeaderEntry     = "Tamarack-Entry"
-	HeaderBudget    = "Tamarack-Budget-Ms"
+	// HeaderOwner is the id of the VM whose target responded, and HeaderEntry that of the
+	// VM whose node received the request from the caller.
+	HeaderOwner = "Tamarack-Owner"
+	HeaderEntry = "Tamarack-Entry"
+	// HeaderBudget is the time left until the deadline, in milliseconds.
+	HeaderBudget = "Tamarack-Budget-Ms"
 	// HeaderStartBy is the latest time at which a target on the same VM may start
 	// the request, in milliseconds of the machine's monotonic clock. Unlike the
 	// remaining time until the deadline, it stays correct if the node is paused
@@ -33,7 +36,7 @@
 	HeaderChain = "Tamarack-Chain"
 )
 
-// Values of HeaderOutcome.
+// The values of HeaderOutcome. Responses of targets don't have this header.
 const (
 	OutcomeDidNotRun = "did-not-run"
 	OutcomeUnknown   = "unknown"
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -21,9 +21,13 @@
 	PathAlive = "/healthz"
 	// PathReady returns 200 while the node accepts requests and 503 while it
 	// doesn't. The first word of the body is the node's health state.
-	PathReady   = "/readyz"
-	PathStatus  = "/status"
-	PathAudit   = "/audit"
+	PathReady = "/readyz"
+	// PathStatus returns a node.Status as JSON.
+	PathStatus = "/status"
+	// PathAudit returns the events of the audit trail as JSON, selected by the query of an
+	// auditlog.Filter.
+	PathAudit = "/audit"
+	// PathMetrics returns the metrics in the Prometheus text format.
 	PathMetrics = "/metrics"
 )
 
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -41,6 +41,7 @@
 
 // Target configures the VM's own target.
 type Target struct {
+	// Address is the target's IP:port.
 	Address string `toml:"address"`
 	// MaxConnections limits the connections that the node opens to the target.
 	MaxConnections int `toml:"max_connections"`
@@ -48,17 +49,20 @@
 
 // Platform configures how the platform is read, and how versions are distributed from it.
 type Platform struct {
-	URL          string            `toml:"url"`
-	ReadTimeout  tomlfile.Duration `toml:"read_timeout"`
+	URL         string            `toml:"url"`
+	ReadTimeout tomlfile.Duration `toml:"read_timeout"`
+	// WatchTimeout limits a watch and must be longer than the platform's own watch timeout.
 	WatchTimeout tomlfile.Duration `toml:"watch_timeout"`
+	// ListInterval is the mean time between two reads of the VM list. In large failure
+	// domains it is longer.
 	ListInterval tomlfile.Duration `toml:"list_interval"`
 	// Readers is the number of nodes of a region that watch the platform.
 	Readers int `toml:"readers"`
 	// StartSpread is the time over which processes that start at the same time spread
 	// their first reads.
 	StartSpread tomlfile.Duration `toml:"start_spread"`
-	// CrossRegionDelay is how long a node waits for a nearer source of a version that was
-	// announced from another region. It trades convergence time for cross-region traffic;
+	// CrossRegionDelay is how long a node waits for a nearer source of a version that a
+	// heartbeat from another region reported. It trades convergence time for cross-region traffic;
 	// docs/design/distribution.md shows the curve.
 	CrossRegionDelay tomlfile.Duration `toml:"patience"`
 	// Redundancy is the number of paths on which a version reaches each node.
@@ -71,20 +75,26 @@
 	KeyFile         string `toml:"key_file"`
 	// AuthorityFiles lists all accepted authorities. During a rotation it contains both the
 	// old and the new one.
-	AuthorityFiles []string          `toml:"authority_files"`
-	Seeds          []string          `toml:"seeds"`
-	Heartbeat      tomlfile.Duration `toml:"heartbeat"`
-	SuspectAfter   tomlfile.Duration `toml:"suspect_after"`
-	ForgetAfter    tomlfile.Duration `toml:"forget_after"`
+	AuthorityFiles []string `toml:"authority_files"`
+	// Seeds are the IP:port of peers to contact while no peer is known.
+	Seeds []string `toml:"seeds"`
+	// Heartbeat, SuspectAfter and ForgetAfter are explained at membership.Config.
+	Heartbeat    tomlfile.Duration `toml:"heartbeat"`
+	SuspectAfter tomlfile.Duration `toml:"suspect_after"`
+	ForgetAfter  tomlfile.Duration `toml:"forget_after"`
 }
 
 // Requests limits the handling of requests.
 type Requests struct {
-	QueuePerSlot   int               `toml:"queue_per_slot"`
-	MaxAttempts    int               `toml:"max_attempts"`
-	MaxHeaderBytes int               `toml:"max_header_bytes"`
-	MaxBodyBytes   int64             `toml:"max_body_bytes"`
-	DrainTimeout   tomlfile.Duration `toml:"drain"`
+	// QueuePerSlot is the number of requests of a customer that may wait for each slot that
+	// it is guaranteed.
+	QueuePerSlot int `toml:"queue_per_slot"`
+	// MaxAttempts bounds the attempts of one request.
+	MaxAttempts    int   `toml:"max_attempts"`
+	MaxHeaderBytes int   `toml:"max_header_bytes"`
+	MaxBodyBytes   int64 `toml:"max_body_bytes"`
+	// DrainTimeout bounds how long a planned stop waits for running requests.
+	DrainTimeout tomlfile.Duration `toml:"drain"`
 }
 
 // Log configures the log on standard error.
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -45,17 +45,20 @@
 // Verdict is the result of offering a request.
 type Verdict uint8
 
-// Verdicts.
+// The verdicts.
 const (
+	// Admitted requests hold a slot and run.
 	Admitted Verdict = iota + 1
+	// Queued requests wait for a slot.
 	Queued
+	// Refused requests neither run nor wait.
 	Refused
 )
 
 // Reason is the cause of a refusal.
 type Reason string
 
-// Reasons for a refusal. Each guarantees that the request did not run.
+// The reasons for a refusal, which have the values of port.Reason. Each guarantees that the request did not run.
 const (
 	ReasonNone      Reason = ""
 	ReasonQueueFull Reason = "queue-full"
@@ -69,7 +72,8 @@
 // Decision is the result of Queue.Offer.
 type Decision struct {
 	Verdict Verdict
-	Reason  Reason
+	// Reason is ReasonNone unless the request was refused.
+	Reason Reason
 	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
 }
@@ -88,7 +92,8 @@
 	Dropped []Drop
 }
 
-// Share is a customer's part of the target's slots. All fields are from 0 to 1.
+// Share is a customer's share of the target's slots. All fields are fractions of the slots,
+// from 0 to 1.
 type Share struct {
 	Guaranteed float64
 	// Limit bounds the slots that the customer holds, guaranteed and borrowed together.
@@ -105,7 +110,7 @@
 	// QueuePerSlot is the number of requests of a customer that may wait for each slot
 	// that it is guaranteed, counting at least one slot.
 	QueuePerSlot int
-	// LongBorrowLimit is the part of the slots, out of those guaranteed to other
+	// LongBorrowLimit is the fraction of the slots, out of those guaranteed to other
 	// customers, that long requests may borrow; 0 to 1.
 	LongBorrowLimit float64
 }
--- a/internal/contract/check.go
+++ b/internal/contract/check.go
@@ -30,10 +30,13 @@
 
 // Upper bounds that reject typing errors before they reach the fleet.
 const (
+	// MaxSlots and MaxConnections bound the slots of and the connections to one upstream.
 	MaxSlots       = 10_000
 	MaxConnections = 65_535
-	MaxUpstreams   = 10_000
-	MaxTimeout     = time.Hour
+	// MaxUpstreams bounds the committed upstreams of a service in one failure domain.
+	MaxUpstreams = 10_000
+	// MaxTimeout bounds every duration of a service or contract.
+	MaxTimeout = time.Hour
 )
 
 var (
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -164,7 +164,8 @@
 	return len(c.Classes)
 }
 
-// HashToken returns the digest of a caller token as written in contracts.
+// HashToken returns the lower-case hex SHA-256 digest of a caller token, as written in
+// contracts.
 func HashToken(token string) string {
 	digest := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(digest[:])
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -59,8 +59,9 @@
 	Class        LocatedValue `json:"class"`
 	Deadline     LocatedValue `json:"deadline"`
 	StallTimeout LocatedValue `json:"stall"`
-	Execution    LocatedValue `json:"runs"`
-	Spill        LocatedValue `json:"spill"`
+	// Execution states whether a request may run more than once.
+	Execution LocatedValue `json:"runs"`
+	Spill     LocatedValue `json:"spill"`
 	// Share, Limit and LongLimit are in slots, both of one target and of all
 	// committed targets. LongLimit is empty for routes that are not long.
 	Share     LocatedValue `json:"share"`
@@ -73,9 +74,10 @@
 
 // Domain describes the targets of a route in one failure domain.
 type Domain struct {
-	Name      string `json:"name"`
-	Committed int    `json:"committed"`
-	Slots     int    `json:"slots"`
+	Name string `json:"name"`
+	// Committed is the number of committed upstreams, Slots that of their slots together.
+	Committed int `json:"committed"`
+	Slots     int `json:"slots"`
 	// Distance is empty when the entry's failure domain or the domain's region
 	// is not known.
 	Distance string `json:"distance,omitempty"`
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -44,6 +44,7 @@
 
 // Platform reads the data that operators and targets publish. Each call is billed.
 type Platform interface {
+	// List returns the platform's complete current contents.
 	List(ctx context.Context) (*Listing, error)
 	// ListStale returns the platform's contents at some moment within the last seconds, as
 	// of a revision. It costs a fraction of List.
@@ -70,10 +71,11 @@
 	SelfAddress   string
 	FailureDomain string
 	Region        string
-	Regions       map[string]string
+	// Regions maps failure domains to regions.
+	Regions map[string]string
 	// PeerAddress returns the address of the node beside the target at an address.
 	PeerAddress func(target string) string
-	// PropagationBound is the time within which a change must be active on all nodes; zero
+	// PropagationBound is the time within which a change must be applied on all nodes; zero
 	// means defaultPropagationBound.
 	PropagationBound time.Duration
 	// FirstStart is set if the whole fleet starts for the first time: no callers are
--- a/internal/follow/read.go
+++ b/internal/follow/read.go
@@ -116,10 +116,10 @@
 	return f.staleAfter() + f.timing.failoverDelay(rank) - age
 }
 
-// staleAfter returns the age of the view at which the first node that isn't a reader fails over to
-// reading the platform. It is shorter if the readers' feeds are broken or a read of the
-// platform is known to have failed, as there is nothing left to wait for. It must be called
-// with the mutex held.
+// staleAfter returns the age of the view at which the first node that isn't a reader fails
+// over to reading the platform. It is shorter if the readers' feeds are broken or a read of
+// the platform is known to have failed, as there is nothing left to wait for. It must be
+// called with the mutex held.
 func (f *Follower) staleAfter() time.Duration {
 	if f.orphaned() || f.view.ReadFailed() {
 		return f.timing.orphanedAfter
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -14,11 +14,13 @@
 // Limits of one run, so that a mistake on the command line doesn't start a load that
 // the machine can't finish.
 const (
+	// MaxRate is in calls per second. MaxDuration bounds the warm-up and the measurement
+	// together.
 	MaxRate     = 20_000
 	MaxDuration = 10 * time.Minute
 	MaxCalls    = 1_000_000
 	MaxInFlight = 4096
-	// MaxArchiveBytes bounds the size of one archive.
+	// MaxArchiveBytes bounds the size of one archive in bytes.
 	MaxArchiveBytes = 1 << 30
 )
 
@@ -27,7 +29,8 @@
 	// Entries are the caller addresses (IP:PORT) of entry nodes, used in turn. Only
 	// loopback addresses are accepted.
 	Entries []string
-	Token   string
+	// Token is the caller token that is sent with each call.
+	Token string
 	// Rate is in calls per second.
 	Rate float64
 	// WarmUp is the time before Duration in which calls are sent but not counted.
@@ -37,7 +40,7 @@
 	// sent rather than sent late.
 	InFlightLimit int
 	Mix           Mix
-	// ArchiveBytes is the size of one archive.
+	// ArchiveBytes is the size of one archive in bytes.
 	ArchiveBytes int64
 	// Timeout bounds one call.
 	Timeout time.Duration
--- a/internal/mesh/delta.go
+++ b/internal/mesh/delta.go
@@ -55,7 +55,7 @@
 }
 
 // Apply returns the result of applying the delta to base, which may be nil and is not
-// modified.
+// modified. It returns ErrUnknownBase if the delta needs another base.
 func (d *ConfigDelta) Apply(base *Config) (*Config, error) {
 	config := &Config{Version: d.Version, Services: d.Services, Limits: d.Limits}
 	if d.Base == 0 {
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -25,7 +25,8 @@
 // Downloads are idempotent too.
 func (k Kind) IsIdempotent() bool { return k != NonIdempotent }
 
-// Share assigns a part of a route's requests to a service.
+// Share assigns a fraction of a route's requests to a service. It is unrelated to the
+// guaranteed shares of contracts.
 type Share struct {
 	Service string `cbor:"s"`
 	// Weight is relative to the other shares of the route.
@@ -59,7 +60,8 @@
 
 // Service holds the settings that apply to all targets of a service.
 type Service struct {
-	Name       string `cbor:"n"`
+	Name string `cbor:"n"`
+	// HealthPath is the URL path of the targets' health check.
 	HealthPath string `cbor:"h"`
 	// MaxConnections bounds the connections of all nodes to one target.
 	MaxConnections int `cbor:"c"`
@@ -67,6 +69,7 @@
 
 // Limits bounds the requests and connections of callers. Zero means unlimited.
 type Limits struct {
+	// HeaderBytes and BodyBytes bound the sizes of a request's headers and body.
 	HeaderBytes int   `cbor:"h"`
 	BodyBytes   int64 `cbor:"b"`
 	// HeaderTimeout bounds how long a caller may take to send its headers.
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -196,7 +196,7 @@
 // ReadyByService returns the ready targets by service. Of several entries with the same
 // address, only that of the latest start counts: a restarted target has a new entry, and
 // the old one remains until its lease expires. Otherwise, after a power loss of a whole
-// fleet, every second offer would go to a target that no longer runs.
+// fleet, every second attempt would go to a target that no longer runs.
 func (v *View) ReadyByService() map[string][]*Member {
 	ready := map[string][]*Member{}
 	for _, member := range v.latestByAddress() {
@@ -214,7 +214,8 @@
 // relative. If they were relative to the time of arrival, each hop from the platform to the
 // last node would prolong the use of a departed target, and an old update would look
 // recent. It returns ErrUnknownBase if the view doesn't hold the base version of the
-// configuration; the rest of the update is applied all the same.
+// configuration, and ErrInvalidParts if its parts don't form one; the targets and removals
+// are applied all the same, but the view doesn't become more current.
 func (v *View) Apply(sent time.Time, update *Update) error {
 	var err error
 	if update.Config != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,17 +30,23 @@
 
 // Config holds a node's settings.
 type Config struct {
+	// Self is the VM on which the node runs.
 	Self membership.VM
 	// Seeds are peer addresses to probe while no peer is known, as when the
 	// platform's list is unavailable.
-	Seeds        []string
-	Heartbeat    time.Duration
+	Seeds []string
+	// Heartbeat is the interval between two ticks of the control loop; see
+	// membership.Config.
+	Heartbeat time.Duration
+	// ListInterval is the mean time between two reads of the platform's VM list. In large
+	// failure domains it is longer.
 	ListInterval time.Duration
 	// ReadPacing bounds the reads of the platform.
 	ReadPacing   distribution.ReadPacing
 	Distribution distribution.Config
 	Membership   membership.Config
-	// QueuePerSlot bounds the requests that wait at the local target.
+	// QueuePerSlot is the number of requests of a customer that may wait at the local target
+	// for each slot that it is guaranteed there.
 	QueuePerSlot int
 	// MaxAttempts bounds the attempts of one request. Probes that found no free
 	// slot don't count.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -29,7 +29,7 @@
 const DefaultHalfBytes = 20e3
 
 // byteCost returns the cost of the bytes of a request that leave the failure domain, as
-// a part of the value of a response in time. Links between domains are shared and billed
+// a fraction of the value of a response in time. Links between domains are shared and billed
 // by volume, at prices unknown to the node, so all distances outside the domain cost the
 // same and a farther target is chosen only for the caller's benefit. The cost stays
 // below one: a target that is failing or certainly late is never preferred, however
@@ -98,7 +98,7 @@
 	Running, Waiting, Slots int
 	// Hold is the mean time for which a request holds a slot.
 	Hold time.Duration
-	// FailureRate is the part of its responses that were failures, 0 to 1.
+	// FailureRate is the fraction of its responses that were failures, 0 to 1.
 	FailureRate float64
 	// LinkWait is how long a large response waits for the VM's link, and LinkRate the
 	// bytes per second that it then gets; 0 for links that need no pacing.
@@ -308,8 +308,8 @@
 	utilizationWeight = 0.05
 )
 
-// Cost returns the cost of sending the request to the target, as a part of the value of
-// a response in time: the probability that the response is late or a failure, the bytes
+// Cost returns the cost of sending the request to the target, as a fraction of the value
+// of a response in time: the probability that the response is late or a failure, the bytes
 // that leave the failure domain, and the utilization of the target.
 func (s *Stats) Cost(now time.Time, r *Request) float64 {
 	network, wait, hold := s.expectedTimes(now, r)
--- a/internal/port/member.go
+++ b/internal/port/member.go
@@ -27,8 +27,9 @@
 
 // ProbeReply reports whether the VM answered the probe.
 type ProbeReply struct {
-	From    string `cbor:"f"`
-	Reached bool   `cbor:"r"`
+	From string `cbor:"f"`
+	// Reached is true if the VM answered.
+	Reached bool `cbor:"r"`
 }
 
 // SyncRequest requests the records of all failure domains whose digest differs from
@@ -38,7 +39,8 @@
 	Digest []membership.DomainDigest `cbor:"d"`
 }
 
-// SyncReply contains the receiver's records of those failure domains.
+// SyncReply is the reply to a SyncRequest. It contains the names of the failure domains
+// whose digests differ, and the replying node's records of them.
 type SyncReply struct {
 	From    string              `cbor:"f"`
 	Domains []string            `cbor:"d"`
--- a/internal/port/message.go
+++ b/internal/port/message.go
@@ -13,7 +13,7 @@
 // MessageType identifies the type of a message on the wire. Numbers are never reused.
 type MessageType uint8
 
-// The types of messages.
+// The types of the messages that distribute versions, of heartbeats and of Busy.
 const (
 	TypeHeartbeat MessageType = iota + 1
 	TypeAnnounce
@@ -25,17 +25,19 @@
 )
 
 // Heartbeat contains the sender's own record, those of a few other VMs, and the
-// version applied at the sender.
+// version applied at the sender, which is zero if there is none.
 type Heartbeat struct {
 	From    membership.Record   `cbor:"f"`
 	Others  []membership.Record `cbor:"o,omitempty"`
 	Version snapshot.Version    `cbor:"v"`
-	Root    snapshot.Hash       `cbor:"h"`
+	// Root is the digest of the version's content.
+	Root snapshot.Hash `cbor:"h"`
 	// Contacts is sent only to VMs of the sender's own failure domain.
 	Contacts []membership.DomainContact `cbor:"c,omitempty"`
 }
 
-// Announce announces that the sender has a version.
+// Announce reports the version that the sender has just applied, so that receivers that
+// lack it fetch it. It has no reply.
 type Announce struct {
 	From    string           `cbor:"f"`
 	Version snapshot.Version `cbor:"v"`
@@ -66,6 +68,7 @@
 
 // Busy is the reply to a request that the receiver has no capacity for at present.
 type Busy struct {
+	// RetryAfter is the delay after which the request may be repeated.
 	RetryAfter time.Duration `cbor:"r"`
 }
 
--- a/internal/port/metric.go
+++ b/internal/port/metric.go
@@ -4,7 +4,7 @@
 // documents the unit of each metric and the alert that uses it.
 type Metric string
 
-// The metrics.
+// The metrics of requests, configuration and the node's health.
 const (
 	// MetricAnswered counts requests that a target has answered, by route.
 	MetricAnswered Metric = "tamarack_requests_answered_total"
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -41,7 +41,7 @@
 // against a read budget that the whole fleet shares; a watch counts as one read.
 // Implementations must be safe for concurrent use.
 type Platform interface {
-	// Manifest returns the published manifest.
+	// Manifest returns the published manifest, or ErrNotFound.
 	Manifest(ctx context.Context) (Value, error)
 	// WatchManifest waits until the manifest's platform revision is greater than
 	// after. It returns ErrUnchanged if the platform ends the wait before.
@@ -145,6 +145,6 @@
 	Count(metric Metric, label string, n int)
 	// Set sets the value of a gauge.
 	Set(metric Metric, label string, value float64)
-	// Observe adds a duration to a histogram.
+	// Observe adds a duration to a histogram, in seconds.
 	Observe(metric Metric, label string, duration time.Duration)
 }
--- a/internal/port/refusal.go
+++ b/internal/port/refusal.go
@@ -10,28 +10,49 @@
 
 // The reasons. A refusal with any reason guarantees that the request did not run.
 const (
-	ReasonNotReady      Reason = "not-ready"
-	ReasonStopping      Reason = "stopping"
-	ReasonUnknownToken  Reason = "unknown-token"
-	ReasonUnknownRoute  Reason = "unknown-route"
-	ReasonMethod        Reason = "method-not-allowed"
-	ReasonNoTarget      Reason = "no-target"
-	ReasonQueueFull     Reason = "queue-full"
-	ReasonDeadline      Reason = "deadline"
-	ReasonBusy          Reason = "busy"
-	ReasonLimit         Reason = "limit"
-	ReasonNoGrant       Reason = "no-grant"
-	ReasonDraining      Reason = "draining"
-	ReasonBehind        Reason = "behind"
-	ReasonWrongOwner    Reason = "wrong-owner"
-	ReasonShed          Reason = "shed"
-	ReasonUnreachable   Reason = "unreachable"
-	ReasonBodyTooLarge  Reason = "body-too-large"
-	ReasonBadRequest    Reason = "bad-request"
+	// ReasonNotReady: the entry node has no current configuration yet.
+	ReasonNotReady Reason = "not-ready"
+	// ReasonStopping: the node is in a planned stop.
+	ReasonStopping Reason = "stopping"
+	// ReasonUnknownToken: no contract accepts the caller's token.
+	ReasonUnknownToken Reason = "unknown-token"
+	// ReasonUnknownRoute: no route matches the request.
+	ReasonUnknownRoute Reason = "unknown-route"
+	// ReasonMethod: the route doesn't accept the HTTP method.
+	ReasonMethod Reason = "method-not-allowed"
+	// ReasonNoTarget: no usable target of the service is within the route's reach.
+	ReasonNoTarget Reason = "no-target"
+	// ReasonQueueFull: all slots are in use, and the customer's queue is full.
+	ReasonQueueFull Reason = "queue-full"
+	// ReasonDeadline: no slot became free before the deadline.
+	ReasonDeadline Reason = "deadline"
+	// ReasonBusy: the request would have had to wait, and Call.NoWait was set.
+	ReasonBusy Reason = "busy"
+	// ReasonLimit: the customer holds all slots that its limit permits.
+	ReasonLimit Reason = "limit"
+	// ReasonNoGrant: the customer's contract grants nothing of the service.
+	ReasonNoGrant Reason = "no-grant"
+	// ReasonDraining: the target accepts no new requests.
+	ReasonDraining Reason = "draining"
+	// ReasonBehind: the owner node has an older configuration than the sender.
+	ReasonBehind Reason = "behind"
+	// ReasonWrongOwner: the receiving VM runs a different service.
+	ReasonWrongOwner Reason = "wrong-owner"
+	// ReasonShed: the target shed the request before running it.
+	ReasonShed Reason = "shed"
+	// ReasonUnreachable: no byte of the request reached the target.
+	ReasonUnreachable Reason = "unreachable"
+	// ReasonBodyTooLarge: the body exceeds the size limit.
+	ReasonBodyTooLarge Reason = "body-too-large"
+	// ReasonBadRequest: the request can't be forwarded as it is.
+	ReasonBadRequest Reason = "bad-request"
+	// ReasonDuplicateCall: the owner node has already received a call with this id.
 	ReasonDuplicateCall Reason = "duplicate-call"
 
+	// ReasonHeaderTooLarge: the headers exceed the size limit.
 	ReasonHeaderTooLarge Reason = "header-too-large"
-	ReasonHeaderTooSlow  Reason = "header-too-slow"
+	// ReasonHeaderTooSlow: the headers did not arrive within the header timeout.
+	ReasonHeaderTooSlow Reason = "header-too-slow"
 	// ReasonShedWithRoom: the target shed the request although it reports free
 	// slots.
 	ReasonShedWithRoom Reason = "shed-with-room"
--- a/internal/proxy/reach.go
+++ b/internal/proxy/reach.go
@@ -22,7 +22,7 @@
 // Also, once one VM was found unreachable, nodes are pinged before they get a request,
 // unless they answered just before. Without failures, no pings are sent.
 
-// PingPath answers the pings of other nodes.
+// PingPath is the URL path at which a node answers the pings of other nodes.
 const PingPath = "/peer/ping"
 
 const (
--- a/internal/quarantine/notice.go
+++ b/internal/quarantine/notice.go
@@ -20,7 +20,8 @@
 // Crash is the end of a target's process, as reported by its own node.
 type Crash struct {
 	// ID identifies the crash.
-	ID  uint64        `cbor:"i"`
+	ID uint64 `cbor:"i"`
+	// Age is the time since the crash.
 	Age time.Duration `cbor:"a"`
 	// Answered reports whether the target had answered requests since its start. A
 	// target that never did may crash under any request.
@@ -31,8 +32,9 @@
 
 // Completion reports that a request completed.
 type Completion struct {
-	Request Fingerprint   `cbor:"r"`
-	Age     time.Duration `cbor:"a"`
+	Request Fingerprint `cbor:"r"`
+	// Age is the time since the request completed.
+	Age time.Duration `cbor:"a"`
 }
 
 // Block reports that a request is blocked.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -24,7 +24,8 @@
 type Run struct {
 	Name string `json:"name"`
 	// Rate is the scheduled rate in calls per second.
-	Rate    float64 `json:"rate"`
+	Rate float64 `json:"rate"`
+	// Seconds is the measured duration, without the warm-up.
 	Seconds float64 `json:"seconds"`
 	Seed    uint64  `json:"seed"`
 	Kinds   []Kind  `json:"kinds"`
@@ -35,8 +36,9 @@
 
 // Kind is the result of one kind of request.
 type Kind struct {
-	Name     string         `json:"name"`
-	Calls    int            `json:"calls"`
+	Name  string `json:"name"`
+	Calls int    `json:"calls"`
+	// Outcomes counts the calls by outcome.
 	Outcomes map[string]int `json:"outcomes"`
 	// Latency is that of answered calls, from the scheduled time to the last byte.
 	Latency Quantiles `json:"waits"`
@@ -55,6 +57,7 @@
 
 // Point is one point of a quantile curve.
 type Point struct {
+	// Quantile is from 0 to 1, and MS the value at it in milliseconds.
 	Quantile float64 `json:"quantile"`
 	MS       float64 `json:"ms"`
 }
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -15,7 +15,7 @@
 const SubsetSize = 8
 
 // Groups divides a service's targets by distance and reduces each group to the
-// node's subset. Rendezvous hashing of node and target keeps the subset stable
+// node's subset. self is the id of the node's VM. Rendezvous hashing of node and target keeps the subset stable
 // when targets join or leave: a departed target is replaced by one other, and no
 // other connection is closed.
 func Groups(from Locality, self string, targets []membership.VM) [OtherRegion + 1][]membership.VM {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -63,10 +63,14 @@
 
 // The sides of a VM.
 const (
+	// CallerSide is the connections of callers to the node.
 	CallerSide Side = "callers"
-	PeerSide   Side = "peers"
+	// PeerSide is the connections of other nodes to the node.
+	PeerSide Side = "peers"
+	// TargetSide is the node's connections to its target.
 	TargetSide Side = "target"
-	StoreSide  Side = "store"
+	// StoreSide is the node's connections to the store.
+	StoreSide Side = "store"
 )
 
 var sides = []Side{CallerSide, PeerSide, TargetSide, StoreSide}
--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -18,7 +18,8 @@
 
 // Traffic counts control messages and their encoded bytes.
 type Traffic struct {
-	Messages    int
+	Messages int
+	// Bytes is the size of all messages, CrossRegion of those sent between regions.
 	Bytes       int
 	CrossRegion int
 	// Control is the part of Bytes that carries versions: messages of package
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -43,7 +43,8 @@
 type Stats struct {
 	Reads     uint64 `json:"reads"`
 	Throttled uint64 `json:"over_budget"`
-	Bytes     uint64 `json:"bytes"`
+	// Bytes is the size of the content sent.
+	Bytes uint64 `json:"bytes"`
 }
 
 type value struct {
--- a/standin/userstore/store.go
+++ b/standin/userstore/store.go
@@ -13,8 +13,10 @@
 
 // Item is the state of one key in the store's responses.
 type Item struct {
-	Key      string
-	Value    []byte
+	Key   string
+	Value []byte
+	// Revision is the store's revision at the last change of the key, Created that at which
+	// it was created.
 	Revision uint64
 	Created  uint64
 	Deleted  bool `json:",omitempty"`
