--- a/internal/adapter/peertls/peertls.go
+++ b/internal/adapter/peertls/peertls.go
@@ -31,6 +31,7 @@
 // Config holds the TLS configuration of both sides of peer connections. Each new connection uses
 // the credentials loaded last.
 type Config struct {
+	// Server is for accepting connections of peers, Client for opening connections to them.
 	Server *tls.Config
 	Client *tls.Config
 
@@ -134,7 +135,8 @@
 	return true, nil
 }
 
-// VMID returns the VM id in the verified certificate of the other side of a connection.
+// VMID returns the VM id in the verified certificate of the other side of a connection, or
+// ErrNoName.
 func VMID(state *tls.ConnectionState) (string, error) {
 	if state == nil || len(state.PeerCertificates) == 0 || state.PeerCertificates[0].Subject.CommonName == "" {
 		return "", ErrNoName
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -99,7 +99,8 @@
 const maxDoublings = 16
 
 // Backoff returns the time to wait before a retry: uniformly random between
-// zero and a bound that doubles with each failure. Clients that failed together
+// zero and a bound, which is base after the first failure, doubles with each further one
+// and is at most limit. Clients that failed together
 // therefore do not retry together.
 func Backoff(random *rand.Rand, base, limit time.Duration, failures int) time.Duration {
 	bound := min(base<<min(max(failures-1, 0), maxDoublings), limit)
--- a/internal/experiment/admission/scenarios.go
+++ b/internal/experiment/admission/scenarios.go
@@ -110,7 +110,8 @@
 }
 
 // Cycle runs requests that call the same service again, inner calls deep, while they
-// hold their slot. The fleet must not stay in the state in which outer calls hold all
+// hold their slot. If marked is set, the inner calls carry their depth and revisits,
+// by which admission recognizes the cycle. The fleet must not stay in the state in which outer calls hold all
 // slots while their inner calls wait.
 func Cycle(config Config, deployment Deployment, inner int, load float64, marked bool, policy Policy) Result {
 	detail := fmt.Sprintf("%d inner, load %g", inner, load)
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -78,7 +78,9 @@
 	return &port.Refusal{Reason: port.Reason(reason), RetryAfter: retryAfter, Detail: refusalDetails[reason]}
 }
 
-// Acquire waits for a slot. On success the caller must call Release once.
+// Acquire waits for a slot until the request's deadline passes or ctx ends. It returns nil
+// if the request got a slot; the caller must then call Release once. Otherwise it returns
+// the refusal.
 func (g *Gate) Acquire(ctx context.Context, r admission.Request) *port.Refusal {
 	decision, w := g.offer(r)
 	switch decision.Verdict {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -51,7 +51,7 @@
 	return time.Duration(p.backlog / p.rate * float64(time.Second))
 }
 
-// Admit adds a response of an expected size to the backlog. If its last byte would wait
+// Admit adds a response of an expected size, in bytes, to the backlog. If its last byte would wait
 // longer than maxWait, Admit returns false and the time after which to retry. A response
 // is always admitted if the link is free.
 func (p *Pacer) Admit(now time.Time, size float64, maxWait time.Duration) (retryAfter time.Duration, ok bool) {
@@ -89,7 +89,8 @@
 	return p.lastRetryAt.Sub(now)
 }
 
-// CorrectSize replaces the expected size of an admitted response by its actual size.
+// CorrectSize replaces the expected size of an admitted response by its actual size,
+// both in bytes.
 func (p *Pacer) CorrectSize(expected, size float64) {
 	if p.rate > 0 && expected >= LargeSize {
 		p.backlog = max(0, p.backlog+size-expected)
--- a/internal/load/signal.go
+++ b/internal/load/signal.go
@@ -15,7 +15,8 @@
 // Signal is a signal that is sent to a process, to cause a failure or a planned stop.
 // At is counted from the start of the run, including the warm-up.
 type Signal struct {
-	PID  int
+	PID int
+	// Name is TERM, KILL, STOP or CONT.
 	Name string
 	At   time.Duration
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -49,7 +49,7 @@
 	Load string
 }
 
-// Config holds the settings of a node.
+// Config holds the settings of a proxy.
 type Config struct {
 	Headers       Headers
 	FailureDomain string
--- a/internal/requestbody/requestbody.go
+++ b/internal/requestbody/requestbody.go
@@ -36,7 +36,8 @@
 }
 
 // Read reads a small body completely and the beginning of a large one. The length is
-// negative if unknown.
+// negative if unknown. It returns the body and its length, which is known for every small
+// body.
 func Read(body io.Reader, length int64) (*Body, int64, error) {
 	if body == nil || length == 0 {
 		return &Body{}, 0, nil
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -14,10 +14,11 @@
 // target. Each target is still in the subsets of many nodes.
 const SubsetSize = 8
 
-// Groups divides a service's targets by distance and reduces each group to the
-// node's subset. self is the id of the node's VM. Rendezvous hashing of node and target keeps the subset stable
-// when targets join or leave: a departed target is replaced by one other, and no
-// other connection is closed.
+// Groups divides a service's targets by distance, which is the index in the result,
+// and reduces each group to the node's subset. self is the id of the node's VM.
+// Rendezvous hashing of node and target keeps the subset stable when targets join or
+// leave: a departed target is replaced by one other, and no other connection is
+// closed.
 func Groups(from Locality, self string, targets []membership.VM) [OtherRegion + 1][]membership.VM {
 	var groups [OtherRegion + 1][]membership.VM
 	for _, vm := range targets {
--- a/internal/snapshot/manifest.go
+++ b/internal/snapshot/manifest.go
@@ -113,7 +113,8 @@
 	return raw, errors.Wrap(err, "encode manifest")
 }
 
-// DecodeManifest decodes a manifest and checks its internal consistency.
+// DecodeManifest decodes a manifest and checks its internal consistency. Its errors wrap
+// ErrBadManifest.
 func DecodeManifest(raw []byte) (*Manifest, error) {
 	if len(raw) > MaxPartBytes {
 		return nil, errors.Wrapf(ErrBadManifest, "too large: %d bytes", len(raw))
@@ -135,7 +136,7 @@
 }
 
 // DecodeGroup decodes a group. The caller must have checked the content against its
-// hash.
+// hash. Its errors wrap ErrBadPart.
 func DecodeGroup(raw []byte) (*Group, error) {
 	var g Group
 	if err := decoder.Unmarshal(raw, &g); err != nil {
