--- a/internal/experiment/admission/experiment.go
+++ b/internal/experiment/admission/experiment.go
@@ -155,8 +155,8 @@
 			add(func() Result { return Cycle(config, deployment, inner, load, true, PolicyShares) })
 		}
 	}
-	for _, cut := range []bool{false, true} {
-		add(func() Result { return Limit(config, deployment, cut) })
+	for _, partitioned := range []bool{false, true} {
+		add(func() Result { return Limit(config, deployment, partitioned) })
 	}
 	return plan
 }
--- a/internal/experiment/admission/experiment_test.go
+++ b/internal/experiment/admission/experiment_test.go
@@ -104,8 +104,8 @@
 // partitioned. Rounding to whole slots may reduce the limit but never raise it.
 func TestLimitHoldsOverTheFleet(t *testing.T) {
 	t.Parallel()
-	for _, cut := range []bool{false, true} {
-		r := Limit(testConfig(4), CoOperative, cut)
+	for _, partitioned := range []bool{false, true} {
+		r := Limit(testConfig(4), CoOperative, partitioned)
 		limited := r.Customers[0]
 		assert.Check(t, float64(limited.MaxHeld) <= limited.LimitSlots)
 		assert.Check(t, float64(limited.MaxHeld) > limited.LimitSlots-float64(CoOperative.Targets))
--- a/internal/experiment/admission/placement.go
+++ b/internal/experiment/admission/placement.go
@@ -48,15 +48,15 @@
 // chooser chooses targets as entry nodes do: each entry counts only its own calls in
 // flight.
 type chooser struct {
-	placement Placement
-	targets   int
-	cut       bool
-	inFlight  [][]int
-	random    *rand.Rand
+	placement   Placement
+	targets     int
+	partitioned bool
+	inFlight    [][]int
+	random      *rand.Rand
 }
 
 func newChooser(s *scenario, random *rand.Rand) *chooser {
-	c := &chooser{placement: s.placement, targets: s.deployment.Targets, cut: s.cut, random: random}
+	c := &chooser{placement: s.placement, targets: s.deployment.Targets, partitioned: s.partitioned, random: random}
 	c.inFlight = make([][]int, c.targets)
 	for entry := range c.inFlight {
 		c.inFlight[entry] = make([]int, c.targets)
@@ -123,7 +123,7 @@
 // anywhere allows every target that the entry can reach.
 func anywhere(c *chooser, entry, target int) bool {
 	half := c.targets / 2
-	return !c.cut || entry/half == target/half
+	return !c.partitioned || entry/half == target/half
 }
 
 func inRegion(_ *chooser, entry, target int) bool {
--- a/internal/experiment/admission/scenarios.go
+++ b/internal/experiment/admission/scenarios.go
@@ -73,20 +73,20 @@
 	})
 }
 
-// Limit runs one customer that sends twice the capacity and has a limit of 0.3. If cut
-// is set, the fleet is partitioned into two halves.
-func Limit(config Config, deployment Deployment, cut bool) Result {
+// Limit runs one customer that sends twice the capacity and has a limit of 0.3. If
+// partitioned is set, the fleet is partitioned into two halves.
+func Limit(config Config, deployment Deployment, partitioned bool) Result {
 	demands := []demand{
 		{customer: "limited", share: 0.2, limit: 0.3, load: 2},
 		{customer: "other", share: 0.5, limit: 1, load: 0.4},
 	}
 	detail := "whole fleet"
-	if cut {
+	if partitioned {
 		detail = "fleet cut in two"
 	}
 	return run(scenario{
 		config: config, name: "limit", detail: detail, deployment: deployment,
-		policy: PolicyShares, placement: PlaceProbe, demands: demands, cut: cut,
+		policy: PolicyShares, placement: PlaceProbe, demands: demands, partitioned: partitioned,
 	})
 }
 
--- a/internal/experiment/admission/simulation.go
+++ b/internal/experiment/admission/simulation.go
@@ -51,9 +51,9 @@
 	longBorrowLimit float64
 	// skewed makes more requests enter at some entries than at others.
 	skewed bool
-	// cut partitions the fleet: the first half of entries and targets can't reach the
+	// partitioned divides the fleet: the first half of entries and targets can't reach the
 	// second.
-	cut bool
+	partitioned bool
 }
 
 // call is one request or inner call.
