--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -17,7 +17,7 @@
 	ServeCaller(w http.ResponseWriter, r *http.Request)
 }
 
-// Limits are the maximum sizes of a caller's request.
+// Limits are the maximum sizes of a caller's request in bytes.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Limits of gossip. A node sends each update roundsPerRecord times gossipFanout
-// times. Lost updates are repaired by anti-entropy.
+// Limits of gossip. A node sends each update in up to roundsPerRecord rounds, to
+// gossipFanout peers in each. Lost updates are repaired by anti-entropy.
 const (
 	gossipFanout    = 3
 	roundsPerRecord = 4
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -201,7 +201,8 @@
 	_ struct{} `cbor:",toarray"`
 
 	FailureDomain string
-	AgeMillis     uint32
+	// AgeMillis is the time since the last contact, in milliseconds.
+	AgeMillis uint32
 }
 
 // DomainDigest is a checksum of the records that a node holds of one failure
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -203,6 +203,7 @@
 // RouteStats holds the moving averages, over all targets, of how long the requests of a
 // route hold a slot and of the size of their responses.
 type RouteStats struct {
+	// Hold is for how long a request holds a slot; zero until one has been measured.
 	Hold          time.Duration
 	ResponseBytes float64
 }
