--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -28,8 +28,8 @@
 	Config   *mesh.Config
 	Targets  []mesh.Target
 	Revision uint64
-	// Answered is when the platform began to respond.
-	Answered time.Time
+	// RespondedAt is when the platform began to respond.
+	RespondedAt time.Time
 }
 
 // Changes holds the changes of the platform's contents after a revision.
@@ -38,20 +38,21 @@
 	Targets  []mesh.Target
 	Removed  []mesh.Removal
 	Revision uint64
-	// Answered is when the platform began to respond.
-	Answered time.Time
+	// RespondedAt is when the platform began to respond.
+	RespondedAt time.Time
 }
 
 // Platform reads the data that operators and targets publish. Each call is billed.
 type Platform interface {
+	// List returns the platform's complete current contents.
 	List(ctx context.Context) (*Listing, error)
 	// ListStale returns the platform's contents at some moment within the last seconds, as
 	// of a revision. It costs a fraction of List.
 	ListStale(ctx context.Context) (*Listing, error)
 	// Watch returns the changes after a revision as soon as there is one, or no changes
-	// when the wait expires. It returns ErrCompacted if the platform no longer holds these
+	// after the timeout. It returns ErrCompacted if the platform no longer holds these
 	// changes.
-	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
+	Watch(ctx context.Context, after uint64, timeout time.Duration) (*Changes, error)
 	// RTT returns the shortest measured round trip to the platform, or zero before the
 	// first.
 	RTT() time.Duration
@@ -59,21 +60,22 @@
 
 // Feed receives updates from another node.
 type Feed interface {
-	// Follow passes every update to take until the feed breaks or ctx ends. Data covered by
+	// Follow passes every update to apply until the feed breaks or ctx ends. Data covered by
 	// checkpoint is not sent again.
-	Follow(ctx context.Context, address string, checkpoint mesh.Checkpoint, take func(*mesh.Update) error) error
+	Follow(ctx context.Context, address string, checkpoint mesh.Checkpoint, apply func(*mesh.Update) error) error
 }
 
 // Config configures a Follower.
 type Config struct {
-	// Self is the address at which other nodes reach this node.
-	Self          string
+	// SelfAddress is the address at which other nodes reach this node.
+	SelfAddress   string
 	FailureDomain string
 	Region        string
-	Regions       map[string]string
+	// Regions maps failure domains to regions.
+	Regions map[string]string
 	// PeerAddress returns the address of the node beside the target at an address.
 	PeerAddress func(target string) string
-	// PropagationBound is the time within which a change must be active on all nodes; zero
+	// PropagationBound is the time within which a change must be applied on all nodes; zero
 	// means defaultPropagationBound.
 	PropagationBound time.Duration
 	// FirstStart is set if the whole fleet starts for the first time: no callers are
@@ -218,8 +220,8 @@
 // were forwarded with heartbeats alone, each hop from the reader to the last node would add
 // one interval to the age of the view.
 func (f *Follower) wakeFeeds(now time.Time, changed bool) {
-	current := now.Add(-f.view.Lag(now))
-	if !changed && (f.view.Lag(now) < 0 || current.Sub(f.notifiedCurrent) < f.timing.heartbeatInterval) {
+	current := now.Add(-f.view.MembersAge(now))
+	if !changed && (f.view.MembersAge(now) < 0 || current.Sub(f.notifiedCurrent) < f.timing.heartbeatInterval) {
 		return
 	}
 	f.notifiedCurrent = current
--- a/internal/load/cli/cli.go
+++ b/internal/load/cli/cli.go
@@ -78,7 +78,7 @@
 	set.Float64Var(&f.config.Rate, "rate", 100, "calls per second")
 	set.DurationVar(&f.config.Duration, "duration", 10*time.Second, "how long calls are sent and counted")
 	set.DurationVar(&f.config.WarmUp, "warm-up", 2*time.Second, "how long calls are sent before they are counted")
-	set.IntVar(&f.config.InFlight, "in-flight", 512, "maximum calls in flight; calls above it are counted as not sent")
+	set.IntVar(&f.config.InFlightLimit, "in-flight", 512, "maximum calls in flight; calls above it are counted as not sent")
 	set.StringVar(&f.mix, "mix", "tally=90,return=8,archive=2", "weights of the kinds of calls")
 	set.Int64Var(&f.config.ArchiveBytes, "archive-bytes", 1<<20, "size of one archive")
 	set.DurationVar(&f.config.Timeout, "timeout", 30*time.Second, "timeout of a call")
@@ -108,11 +108,11 @@
 // write writes the report to the outputs that the flags select, and returns
 // ErrWrongResponse if it has a wrong response.
 func (f *flags) write(c *cobra.Command, r *report.Report) error {
-	r.Text(c.OutOrStdout())
-	if err := toFile(f.json, r.JSON); err != nil {
+	r.WriteText(c.OutOrStdout())
+	if err := toFile(f.json, r.WriteJSON); err != nil {
 		return err
 	}
-	if err := toFile(f.svg, r.SVG); err != nil {
+	if err := toFile(f.svg, r.WriteSVG); err != nil {
 		return err
 	}
 	for i := range r.Runs {
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -14,11 +14,13 @@
 // Limits of one run, so that a mistake on the command line doesn't start a load that
 // the machine can't finish.
 const (
+	// MaxRate is in calls per second. MaxDuration bounds the warm-up and the measurement
+	// together.
 	MaxRate     = 20_000
 	MaxDuration = 10 * time.Minute
 	MaxCalls    = 1_000_000
 	MaxInFlight = 4096
-	// MaxArchiveBytes bounds the size of one archive.
+	// MaxArchiveBytes bounds the size of one archive in bytes.
 	MaxArchiveBytes = 1 << 30
 )
 
@@ -27,17 +29,18 @@
 	// Entries are the caller addresses (IP:PORT) of entry nodes, used in turn. Only
 	// loopback addresses are accepted.
 	Entries []string
-	Token   string
+	// Token is the caller token that is sent with each call.
+	Token string
 	// Rate is in calls per second.
 	Rate float64
 	// WarmUp is the time before Duration in which calls are sent but not counted.
 	WarmUp   time.Duration
 	Duration time.Duration
-	// InFlight bounds the calls in flight. A call over this bound is counted as not
+	// InFlightLimit bounds the calls in flight. A call over this bound is counted as not
 	// sent rather than sent late.
-	InFlight int
-	Mix      Mix
-	// ArchiveBytes is the size of one archive.
+	InFlightLimit int
+	Mix           Mix
+	// ArchiveBytes is the size of one archive in bytes.
 	ArchiveBytes int64
 	// Timeout bounds one call.
 	Timeout time.Duration
@@ -57,7 +60,7 @@
 		return errors.Errorf("warm-up and duration together must be above 0 and at most %s", MaxDuration)
 	case c.totalCalls() > MaxCalls:
 		return errors.Errorf("%d calls exceed the limit of %d; lower the rate or the duration", c.totalCalls(), MaxCalls)
-	case c.InFlight < 1 || c.InFlight > MaxInFlight:
+	case c.InFlightLimit < 1 || c.InFlightLimit > MaxInFlight:
 		return errors.Errorf("calls in flight must be 1 to %d", MaxInFlight)
 	case c.ArchiveBytes < 1 || c.ArchiveBytes > MaxArchiveBytes:
 		return errors.Errorf("an archive must have 1 to %d bytes", MaxArchiveBytes)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -160,7 +160,7 @@
 			f := newFleet(t, test.nodes)
 			if test.nodes > 1 {
 				f.proxies[0].stats["t1"].RecordFailure(time.Now())
-				f.proxies[0].stats["t1"].UpdateLoad(time.Now(), placement.Load{Running: testSlots * min(test.waiting, 1), Waiting: test.waiting, Slots: testSlots})
+				f.proxies[0].stats["t1"].RecordLoad(time.Now(), placement.Load{Running: testSlots * min(test.waiting, 1), Waiting: test.waiting, Slots: testSlots})
 			}
 			if test.refuses {
 				f.proxies[1].gate.Configure(admissionTerms(0))
@@ -240,7 +240,7 @@
 			f.proxies[0].ServeCaller(w, r)
 			assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 			lines := f.trace(t)
-			assert.Equal(t, lines[len(lines)-1].Fields[logfield.Offers], test.offers)
+			assert.Equal(t, lines[len(lines)-1].Fields[logfield.Attempts], test.offers)
 		})
 	}
 }
