--- a/internal/node/resume.go
+++ b/internal/node/resume.go
@@ -94,8 +94,10 @@
 }
 
 // continuation returns the forwarder of the request for the rest of the body,
-// with a deadline of its own. The target whose response broke is excluded from
-// the first continuation, but not from later ones: it may be the only one left.
+// with a deadline of its own. The first continuation excludes the target whose
+// response broke; if the route reaches no other, the body isn't resumed. Later
+// ones, needed if a resumed body breaks in turn, exclude no target: the one that
+// broke may be the only one left.
 func (f *forwarder) continuation(plan *resume.Plan, offset int64, number int) *forwarder {
 	call := *f.call
 	call.ID = f.node.newID()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -312,7 +312,9 @@
 // Counts returns the number of requests running and waiting at the local target.
 func (p *Proxy) Counts() (running, waiting int) { return p.gate.Counts() }
 
-// nextAttemptID returns an id that is unique among the attempts of this node.
+// nextAttemptID returns an id that is unique among the attempts of this node since its
+// start. The low 24 bits of the clock in nanoseconds make it unlikely, but not impossible,
+// that it equals an id of another node or of this node before a restart.
 func (p *Proxy) nextAttemptID(now time.Time) string {
 	return strconv.FormatUint(p.attemptCount.Add(1), 36) + "." + strconv.FormatInt(now.UnixNano()&0xffffff, 36)
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -129,7 +129,7 @@
 // know yet. The request must not run there.
 func TestReusedAddressDoesNotRunRequest(t *testing.T) {
 	f := newFleet(t, 1)
-	f.targets[0].id = "stranger"
+	f.targets[0].id = "other"
 	w := f.send(0, "POST", "/once/x", "")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, w.Header().Get(callhttp.HeaderReason), "misdirected")
--- a/internal/requestbody/requestbody.go
+++ b/internal/requestbody/requestbody.go
@@ -68,10 +68,10 @@
 	return b.head[:min(len(b.head), headBytes)]
 }
 
-// Reader returns the body for the next attempt, or nil if there is no body. If a large
-// body hasn't been read, the reader of the previous attempt is revoked. If it was read in
-// part, the new reader returns an error instead of the rest, which the target would take
-// for the whole body.
+// Reader returns the body for the next attempt, or nil if there is no body. For a large
+// body, the reader of the previous attempt is revoked unless it has begun to read. If it
+// has, it isn't revoked, and the new reader returns ErrRevoked instead of the rest, which
+// the target would take for the whole body.
 func (b *Body) Reader() io.Reader {
 	if b.stream == nil {
 		if len(b.buffered) == 0 {
