--- a/cmd/tamarackd/run.go
+++ b/cmd/tamarackd/run.go
@@ -138,13 +138,13 @@
 		Seeds:        s.Peers.Seeds,
 		Heartbeat:    s.Peers.Heartbeat.Std(),
 		ListInterval: s.Platform.ListInterval.Std(),
-		Pace:         pace(s),
+		ReadPacing:   pace(s),
 		Distribution: distributionConfig(s),
 		Membership:   membership.Config{SuspectAfter: s.Peers.SuspectAfter.Std(), ForgetAfter: s.Peers.ForgetAfter.Std()},
 		QueuePerSlot: s.Requests.QueuePerSlot,
 		MaxAttempts:  s.Requests.MaxAttempts,
 		Linger:       linger,
-		Drain:        s.Requests.Drain.Std(),
+		DrainTimeout: s.Requests.Drain.Std(),
 		Seed:         uint64(time.Now().UnixNano()),
 	}
 }
--- a/internal/command/status/print.go
+++ b/internal/command/status/print.go
@@ -56,7 +56,7 @@
 	if s.Isolated {
 		fmt.Fprintln(w, "  hears no peer at all")
 	}
-	for _, trouble := range s.Troubles {
+	for _, trouble := range s.VersionProblems {
 		fmt.Fprintf(w, "  %s: %s from %s at %s\n", trouble.Kind, trouble.Subject(), trouble.From, trouble.Time.UTC().Format(time.RFC3339))
 		for _, f := range trouble.Findings {
 			fmt.Fprintf(w, "    %s\n", f)
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -43,8 +43,8 @@
 	ready    bool
 	applied  snapshot.Version
 	reported snapshot.Version
-	platform PlatformContact
-	troubles []VersionTrouble
+	platform PlatformStatus
+	troubles []VersionProblem
 	// appliedAt is when the version in force was applied.
 	appliedAt time.Time
 }
@@ -59,7 +59,7 @@
 		reasons = append(reasons, fmt.Sprintf("version %s was reported, %s is in force", facts.reported, facts.applied))
 	}
 	for _, trouble := range facts.troubles {
-		if trouble.Stands(facts.applied, facts.appliedAt) {
+		if trouble.Unresolved(facts.applied, facts.appliedAt) {
 			reasons = append(reasons, fmt.Sprintf("%s: %s is not in force here", trouble.Kind, trouble.Subject()))
 		}
 	}
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -18,7 +18,7 @@
 // waits a random time, and later ones half to one and a half times the
 // interval: nodes that started together would else read together.
 func (n *Node) watchList(ctx context.Context) {
-	wait.Sleep(ctx, n.randomly(n.config.Pace.StartDelay))
+	wait.Sleep(ctx, n.randomly(n.config.ReadPacing.StartDelay))
 	failures := 0
 	for ctx.Err() == nil {
 		list, err := n.ports.Platform.VMs(ctx)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,7 +35,7 @@
 	Heartbeat    time.Duration
 	ListInterval time.Duration
 	// Pace bounds the reads of the platform.
-	Pace         distribution.ReadPacing
+	ReadPacing   distribution.ReadPacing
 	Distribution distribution.Config
 	Membership   membership.Config
 	// QueuePerSlot bounds the requests that wait at the local target.
@@ -48,7 +48,7 @@
 	// connections with each answer.
 	Linger time.Duration
 	// Drain bounds how long a planned stop waits for running requests.
-	Drain time.Duration
+	DrainTimeout time.Duration
 	// Seed starts the node's random numbers.
 	Seed uint64
 }
@@ -162,7 +162,7 @@
 		reading: reading{
 			listTried: make(chan struct{}),
 			served:    rate.NewLimiter(serveBytesPerSecond, serveBurst),
-			partReads: rate.NewLimiter(rate.Limit(config.Pace.PartsRate), partBurst),
+			partReads: rate.NewLimiter(rate.Limit(config.ReadPacing.PartsRate), partBurst),
 		},
 		loop: loop{
 			started: now,
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -59,7 +59,7 @@
 
 // platformEvent tells that the platform went away or came back. A node that
 // reads it for the first time tells nothing.
-func platformEvent(before PlatformState, now PlatformContact) (port.AuditEvent, bool) {
+func platformEvent(before PlatformState, now PlatformStatus) (port.AuditEvent, bool) {
 	switch {
 	case now.State == PlatformUnreachable && before != PlatformUnreachable:
 		return port.AuditEvent{Kind: port.AuditPlatformDown, Detail: now.Problem}, true
--- a/internal/node/platformcontact.go
+++ b/internal/node/platformcontact.go
@@ -23,13 +23,13 @@
 )
 
 // PlatformContact is what the node saw of the platform.
-type PlatformContact struct {
+type PlatformStatus struct {
 	State PlatformState `json:"state"`
 	// Since is when the state began; zero while nothing was read.
 	Since time.Time `json:"since"`
 	// LastAnswer is when the platform last answered; zero if it never did.
-	LastAnswer time.Time `json:"last_answer"`
-	Problem    string    `json:"problem,omitempty"`
+	LastResponse time.Time `json:"last_answer"`
+	Problem      string    `json:"problem,omitempty"`
 }
 
 // unreachableAfter is how many reads in a row must fail before the platform
@@ -42,12 +42,12 @@
 	clock port.Clock
 
 	mu       sync.Mutex
-	contact  PlatformContact
+	contact  PlatformStatus
 	failures int
 }
 
 func observePlatform(ports Ports) *observedPlatform {
-	return &observedPlatform{inner: ports.Platform, clock: ports.Clock, contact: PlatformContact{State: PlatformNotRead}}
+	return &observedPlatform{inner: ports.Platform, clock: ports.Clock, contact: PlatformStatus{State: PlatformNotRead}}
 }
 
 // Manifest implements port.Platform.
@@ -79,7 +79,7 @@
 }
 
 // state returns what was seen so far.
-func (p *observedPlatform) state() PlatformContact {
+func (p *observedPlatform) state() PlatformStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.contact
@@ -96,7 +96,7 @@
 	now := p.clock.Now()
 	if answered(err) {
 		p.failures = 0
-		p.contact.LastAnswer = now
+		p.contact.LastResponse = now
 		p.enter(PlatformReachable, now, "")
 	} else if p.failures++; p.failures >= unreachableAfter {
 		p.enter(PlatformUnreachable, now, err.Error())
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -36,7 +36,7 @@
 // isReader reports whether this node is among its region's readers. Nodes that
 // see different VMs may disagree, which costs a read and never correctness.
 func (n *Node) isReader() bool {
-	return int(n.rank.Load()) < n.config.Pace.Readers && n.settled()
+	return int(n.rank.Load()) < n.config.ReadPacing.Readers && n.settled()
 }
 
 // settleHold bounds how long a fresh process waits to hear the VMs that the
@@ -55,7 +55,7 @@
 	if settledShare*view.Unconfirmed <= len(view.Peers)+1 {
 		return true
 	}
-	return n.ports.Clock.Now().Sub(n.started) > settleHold+n.config.Pace.StartSpread
+	return n.ports.Clock.Now().Sub(n.started) > settleHold+n.config.ReadPacing.StartSpread
 }
 
 // randomly draws a time from the node's random numbers.
@@ -68,7 +68,7 @@
 // probeAfter is the pause between two reads of a node that is no reader.
 func (n *Node) probeAfter() time.Duration {
 	live := len(liveVMs(n.view.Load()))
-	return n.randomly(func(r *rand.Rand) time.Duration { return n.config.Pace.ProbeDelay(r, live) })
+	return n.randomly(func(r *rand.Rand) time.Duration { return n.config.ReadPacing.ProbeDelay(r, live) })
 }
 
 func (n *Node) listWasTried() { n.listTriedBy.Do(func() { close(n.listTried) }) }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -25,7 +25,7 @@
 	PublishedBy string           `json:"published_by"`
 	PublishedAt time.Time        `json:"published_at"`
 	Reported    snapshot.Version `json:"reported"`
-	Platform    PlatformContact  `json:"platform"`
+	Platform    PlatformStatus   `json:"platform"`
 	// Running and Waiting are requests at the local target's slots and queue.
 	Running int                 `json:"running"`
 	Waiting int                 `json:"waiting"`
@@ -34,12 +34,12 @@
 	MemberCount int `json:"member_count"`
 	// Troubles are versions that were refused, can't be had whole or were
 	// published over each other; the last ones, oldest first.
-	Troubles []VersionTrouble `json:"troubles,omitempty"`
+	VersionProblems []VersionProblem `json:"troubles,omitempty"`
 	// RefusedRequests counts refusals to callers since the start, by reason.
 	RefusedRequests map[port.Reason]int `json:"refused_requests,omitempty"`
 
 	// Unheard counts VMs that only the platform's list has named.
-	Unheard int `json:"unheard"`
+	Unconfirmed int `json:"unheard"`
 	// Unreachable are the failure domains without contact.
 	Unreachable []string `json:"unreachable,omitempty"`
 	// Isolated is set while the node hears no peer at all.
@@ -55,7 +55,7 @@
 	s := &Status{
 		VM: n.config.Self, Started: n.observer.started,
 		Applied: n.state.AppliedVersion(), Reported: n.state.ReportedVersion(), Platform: n.observer.platform.state(),
-		Members: view.Records, MemberCount: len(view.Records), Unheard: view.Unconfirmed, Unreachable: view.Unreachable, Isolated: view.Isolated,
+		Members: view.Records, MemberCount: len(view.Records), Unconfirmed: view.Unconfirmed, Unreachable: view.Unreachable, Isolated: view.Isolated,
 	}
 	if applied := n.state.Applied(); applied != nil {
 		s.Root = applied.Root()
@@ -70,10 +70,10 @@
 	if s.Applied != previous.Applied {
 		s.AppliedAt = now
 	}
-	s.Troubles = n.observer.troubles.all()
+	s.VersionProblems = n.observer.troubles.all()
 	state, reasons := judgeHealth(healthFacts{
 		stopping: n.stopping.Load(), ready: n.ready.Load(), applied: s.Applied, reported: s.Reported,
-		platform: s.Platform, troubles: s.Troubles, appliedAt: s.AppliedAt,
+		platform: s.Platform, troubles: s.VersionProblems, appliedAt: s.AppliedAt,
 	})
 	s.Health = previous.Health.next(now, state, reasons)
 	s.pulse = n.newPulse(now)
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -35,7 +35,7 @@
 	})
 	wait.Sleep(ctx, n.config.Linger)
 	n.closed.Store(true)
-	deadline := n.ports.Clock.Now().Add(n.config.Drain)
+	deadline := n.ports.Clock.Now().Add(n.config.DrainTimeout)
 	for n.running.Load() > 0 && ctx.Err() == nil && n.ports.Clock.Now().Before(deadline) {
 		wait.Sleep(ctx, drainPoll)
 	}
--- a/internal/node/trail.go
+++ b/internal/node/trail.go
@@ -16,7 +16,7 @@
 
 // VersionTrouble is a version that this node refused, can't get whole, or found
 // to have been published over another.
-type VersionTrouble struct {
+type VersionProblem struct {
 	// Kind is port.AuditRefused, port.AuditIncomplete or port.AuditConflict.
 	Kind     port.AuditKind `json:"kind"`
 	Version  string         `json:"version"`
@@ -29,7 +29,7 @@
 // Stands reports whether the node is still without something that an operator
 // meant it to have: the trouble's version is newer than the one in force, or it
 // was a manifest that can't be read, and no version came into force since.
-func (t VersionTrouble) Stands(applied snapshot.Version, appliedAt time.Time) bool {
+func (t VersionProblem) Unresolved(applied snapshot.Version, appliedAt time.Time) bool {
 	version, err := snapshot.ParseVersion(t.Version)
 	if err != nil || version.IsZero() {
 		return t.Time.After(appliedAt)
@@ -38,7 +38,7 @@
 }
 
 // Subject names what the trouble is with.
-func (t VersionTrouble) Subject() string {
+func (t VersionProblem) Subject() string {
 	if version, err := snapshot.ParseVersion(t.Version); err != nil || version.IsZero() {
 		return "a manifest that can't be read"
 	}
@@ -62,7 +62,7 @@
 	inner port.Audit
 
 	mu       sync.Mutex
-	troubles []VersionTrouble
+	troubles []VersionProblem
 }
 
 // Record implements port.Audit.
@@ -70,7 +70,7 @@
 	l.inner.Record(event)
 	switch event.Kind {
 	case port.AuditRefused, port.AuditIncomplete, port.AuditConflict:
-		l.remember(VersionTrouble{
+		l.remember(VersionProblem{
 			Kind: event.Kind, Version: event.Version, Root: event.Root,
 			Time: event.Time, From: event.From, Findings: event.Findings,
 		})
@@ -79,10 +79,10 @@
 
 // remember keeps one entry per kind and content: a missing part is told again
 // each time it is tried.
-func (l *troubleLog) remember(trouble VersionTrouble) {
+func (l *troubleLog) remember(trouble VersionProblem) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := slices.DeleteFunc(slices.Clone(l.troubles), func(t VersionTrouble) bool {
+	kept := slices.DeleteFunc(slices.Clone(l.troubles), func(t VersionProblem) bool {
 		return t.Kind == trouble.Kind && t.Version == trouble.Version && t.Root == trouble.Root
 	})
 	kept = append(kept, trouble)
@@ -90,7 +90,7 @@
 }
 
 // all returns the troubles, oldest first; callers must not change them.
-func (l *troubleLog) all() []VersionTrouble {
+func (l *troubleLog) all() []VersionProblem {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.troubles
