--- a/cmd/standin-target/main.go
+++ b/cmd/standin-target/main.go
@@ -31,7 +31,7 @@
 					return err
 				}
 				defer file.Close()
-				upstream.Journal(file)
+				upstream.WriteLedgerTo(file)
 			}
 			server := &http.Server{Addr: listen, Handler: upstream.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 			return server.ListenAndServe()
--- a/internal/command/audit/audit.go
+++ b/internal/command/audit/audit.go
@@ -74,7 +74,7 @@
 	}
 	filter := o.filter(time.Now())
 	path := operatorhttp.PathAudit + "?" + filter.Query().Encode()
-	r := o.collect(nodes.Ask[[]port.AuditEvent](c.Context(), addresses, path))
+	r := o.collect(nodes.Fetch[[]port.AuditEvent](c.Context(), addresses, path))
 	if o.format == command.FormatJSON {
 		err = command.PrintJSON(c.OutOrStdout(), r)
 	} else {
@@ -99,7 +99,7 @@
 }
 
 // collect merges the nodes' trails.
-func (o *options) collect(answers []nodes.Answer[[]port.AuditEvent]) report {
+func (o *options) collect(answers []nodes.Response[[]port.AuditEvent]) report {
 	var r report
 	for _, answer := range answers {
 		if answer.Problem != "" {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -20,7 +20,7 @@
 
 // Exit codes of tamarackctl.
 const (
-	ExitFine     = 0
+	ExitOK       = 0
 	ExitFindings = 1
 	ExitUsage    = 2
 )
@@ -32,7 +32,7 @@
 func ExitCode(err error) int {
 	switch {
 	case err == nil:
-		return ExitFine
+		return ExitOK
 	case errors.Is(err, ErrFindings):
 		return ExitFindings
 	}
@@ -104,12 +104,12 @@
 // ReadContracts reads and checks every .toml file of a directory, in the order
 // of their names.
 func ReadContracts(dir string) (*contract.Set, finding.List) {
-	set, _, found := ReadLocated(dir)
+	set, _, found := ReadWithLocations(dir)
 	return set, found
 }
 
 // ReadLocated is ReadContracts with the place of each service and contract.
-func ReadLocated(dir string) (*contract.Set, contract.Locations, finding.List) {
+func ReadWithLocations(dir string) (*contract.Set, contract.Locations, finding.List) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err == nil && len(names) == 0 {
 		err = errors.New("no .toml file in it")
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -110,7 +110,7 @@
 }
 
 func (o *options) explain(ctx context.Context, source *published.Source) (result, error) {
-	input := explain.Input{Set: source.Set, Places: source.Places}
+	input := explain.Input{Set: source.Set, Locations: source.Locations}
 	if o.node == "" {
 		return result{Explanation: explain.Explain(input, o.query)}, nil
 	}
@@ -133,7 +133,7 @@
 	if err != nil {
 		return node.Status{}, err
 	}
-	answer := nodes.Ask[node.Status](ctx, addresses, operatorhttp.PathStatus)[0]
+	answer := nodes.Fetch[node.Status](ctx, addresses, operatorhttp.PathStatus)[0]
 	if answer.Problem != "" {
 		return node.Status{}, errors.Errorf("%s: %s", answer.Address, answer.Problem)
 	}
@@ -150,7 +150,7 @@
 
 // refusedByNode is the refusal that the node's own state brings, whatever the
 // request.
-func refusedByNode(health node.Health) *explain.CertainReason {
+func refusedByNode(health node.Health) *explain.Refusal {
 	if health.Serving() {
 		return nil
 	}
@@ -158,5 +158,5 @@
 	if health.State == node.HealthStopping {
 		reason = port.ReasonStopping
 	}
-	return &explain.CertainReason{Reason: reason, Detail: "the node is " + string(health.State) + " since " + health.Since.UTC().Format(time.RFC3339)}
+	return &explain.Refusal{Reason: reason, Detail: "the node is " + string(health.State) + " since " + health.Since.UTC().Format(time.RFC3339)}
 }
--- a/internal/command/explain/print.go
+++ b/internal/command/explain/print.go
@@ -24,13 +24,13 @@
 	if o.format == command.FormatJSON {
 		return command.PrintJSON(c.OutOrStdout(), meaning)
 	}
-	fmt.Fprintf(c.OutOrStdout(), "%s: %s.\nThe request did not run. What helps: %s.\n", o.reason, meaning.Why, meaning.Do)
+	fmt.Fprintf(c.OutOrStdout(), "%s: %s.\nThe request did not run. What helps: %s.\n", o.reason, meaning.Cause, meaning.Remedy)
 	return nil
 }
 
 func printText(w io.Writer, r result) {
 	if r.Customer != "" {
-		fmt.Fprintf(w, "contract of %s%s\n", r.Customer, at(r.Place))
+		fmt.Fprintf(w, "contract of %s%s\n", r.Customer, at(r.Location))
 	}
 	if r.Node != nil {
 		printNode(w, r.Node)
@@ -39,9 +39,9 @@
 		printRoute(w, route)
 	}
 	if r.Refused != nil {
-		fmt.Fprintf(w, "refused: %s: %s%s\n", r.Refused.Reason, r.Refused.Detail, at(r.Refused.Place))
+		fmt.Fprintf(w, "refused: %s: %s%s\n", r.Refused.Reason, r.Refused.Detail, at(r.Refused.Location))
 		if meaning, ok := explain.MeaningOf(r.Refused.Reason); ok {
-			fmt.Fprintf(w, "  what helps: %s\n", meaning.Do)
+			fmt.Fprintf(w, "  what helps: %s\n", meaning.Remedy)
 		}
 	}
 }
@@ -68,16 +68,16 @@
 }
 
 func printRoute(w io.Writer, route explain.Route) {
-	fmt.Fprintf(w, "route %s: %s to service %s%s\n", route.Name, route.Prefix, route.Service, at(route.Place))
+	fmt.Fprintf(w, "route %s: %s to service %s%s\n", route.Name, route.Prefix, route.Service, at(route.Location))
 	for _, line := range []struct {
 		name  string
-		value explain.Sourced
+		value explain.LocatedValue
 	}{
 		{"share", route.Share}, {"limit", route.Limit}, {"long", route.LongLimit}, {"class", route.Class}, {"deadline", route.Deadline},
 		{"stall", route.Stall}, {"runs", route.Runs}, {"spill", route.Spill},
 	} {
 		if line.value.Value != "" {
-			fmt.Fprintf(w, "  %-9s %s%s\n", line.name, line.value.Value, at(line.value.Place))
+			fmt.Fprintf(w, "  %-9s %s%s\n", line.name, line.value.Value, at(line.value.Location))
 		}
 	}
 	fmt.Fprintln(w, "  targets, in the order in which they are tried:")
@@ -86,7 +86,7 @@
 	}
 	fmt.Fprintln(w, "  would be refused when:")
 	for _, condition := range route.Conditions {
-		fmt.Fprintf(w, "    %-12s %s%s\n", condition.Reason, condition.When, at(condition.Place))
+		fmt.Fprintf(w, "    %-12s %s%s\n", condition.Reason, condition.When, at(condition.Location))
 	}
 }
 
@@ -101,5 +101,5 @@
 	if !domain.InReach {
 		text += ", out of the route's reach"
 	}
-	fmt.Fprintf(w, "    %-18s %s%s\n", domain.Name, text, at(domain.Place))
+	fmt.Fprintf(w, "    %-18s %s%s\n", domain.Name, text, at(domain.Location))
 }
--- a/internal/command/nodes/nodes.go
+++ b/internal/command/nodes/nodes.go
@@ -30,7 +30,7 @@
 )
 
 // Answer is one node's answer or why there is none.
-type Answer[T any] struct {
+type Response[T any] struct {
 	Address string `json:"address"`
 	Problem string `json:"problem,omitempty"`
 	Value   T      `json:"value"`
@@ -38,9 +38,9 @@
 
 // Ask gets path from each node and returns the answers in the order of the
 // addresses.
-func Ask[T any](ctx context.Context, addresses []string, path string) []Answer[T] {
+func Fetch[T any](ctx context.Context, addresses []string, path string) []Response[T] {
 	client := &http.Client{Timeout: askTimeout}
-	answers := make([]Answer[T], len(addresses))
+	answers := make([]Response[T], len(addresses))
 	var group errgroup.Group
 	group.SetLimit(maxAsked)
 	for i, address := range addresses {
--- a/internal/command/published/published.go
+++ b/internal/command/published/published.go
@@ -33,7 +33,7 @@
 	Name string
 	Set  *contract.Set
 	// Places is nil for published versions, which carry no files.
-	Places contract.Locations
+	Locations contract.Locations
 	// Manifest is nil for directories of contracts.
 	Manifest *snapshot.Manifest
 }
@@ -51,8 +51,8 @@
 // says why it can't be read.
 func Load(ctx context.Context, name string) (*Source, finding.List, error) {
 	if !isURL(name) && !holdsManifest(name) {
-		set, places, found := command.ReadLocated(name)
-		return &Source{Name: name, Set: set, Places: places}, found, nil
+		set, places, found := command.ReadWithLocations(name)
+		return &Source{Name: name, Set: set, Locations: places}, found, nil
 	}
 	store := open(name)
 	manifest, err := store.manifest(ctx)
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -67,8 +67,8 @@
 }
 
 func (o *options) report(ctx context.Context, addresses []string) (report, error) {
-	ask := func() []nodes.Answer[node.Status] {
-		return nodes.Ask[node.Status](ctx, addresses, operatorhttp.PathBriefStatus)
+	ask := func() []nodes.Response[node.Status] {
+		return nodes.Fetch[node.Status](ctx, addresses, operatorhttp.PathBriefStatus)
 	}
 	if o.wait == "" {
 		return newReport(ask(), time.Now()), nil
@@ -93,7 +93,7 @@
 
 // nodeLine is one node's part.
 type nodeLine struct {
-	nodes.Answer[node.Status]
+	nodes.Response[node.Status]
 	// Lags says that another node has a newer version, or other content under
 	// the same number.
 	Lags bool `json:"lags"`
@@ -102,7 +102,7 @@
 	Problems   int     `json:"problems"`
 }
 
-func newReport(answers []nodes.Answer[node.Status], now time.Time) report {
+func newReport(answers []nodes.Response[node.Status], now time.Time) report {
 	var r report
 	var root snapshot.Hash
 	for _, answer := range answers {
@@ -122,8 +122,8 @@
 	return r
 }
 
-func newLine(answer nodes.Answer[node.Status], now time.Time) nodeLine {
-	line := nodeLine{Answer: answer}
+func newLine(answer nodes.Response[node.Status], now time.Time) nodeLine {
+	line := nodeLine{Response: answer}
 	if answer.Problem != "" {
 		line.Problems++
 		return line
--- a/internal/command/status/wait.go
+++ b/internal/command/status/wait.go
@@ -30,7 +30,7 @@
 }
 
 // waitFor asks until all nodes serve on the version or the time is over.
-func waitFor(ctx context.Context, version snapshot.Version, timeout time.Duration, ask func() []nodes.Answer[node.Status]) report {
+func waitFor(ctx context.Context, version snapshot.Version, timeout time.Duration, ask func() []nodes.Response[node.Status]) report {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -51,7 +51,7 @@
 }
 
 // missingOn counts the nodes that don't serve on the version or a newer one.
-func missingOn(version snapshot.Version, answers []nodes.Answer[node.Status]) int {
+func missingOn(version snapshot.Version, answers []nodes.Response[node.Status]) int {
 	missing := 0
 	for _, answer := range answers {
 		if answer.Problem != "" || version.NewerThan(answer.Value.Applied) || !answer.Value.Health.Serving() {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -30,41 +30,41 @@
 
 // Explanation is the answer.
 type Explanation struct {
-	Customer string         `json:"customer,omitempty"`
-	Place    string         `json:"place,omitempty"`
-	Routes   []Route        `json:"routes,omitempty"`
-	Refused  *CertainReason `json:"refused,omitempty"`
+	Customer string   `json:"customer,omitempty"`
+	Location string   `json:"place,omitempty"`
+	Routes   []Route  `json:"routes,omitempty"`
+	Refused  *Refusal `json:"refused,omitempty"`
 }
 
 // CertainReason is why the request would be refused whatever the load.
-type CertainReason struct {
-	Reason port.Reason `json:"reason"`
-	Detail string      `json:"detail"`
-	Place  string      `json:"place,omitempty"`
+type Refusal struct {
+	Reason   port.Reason `json:"reason"`
+	Detail   string      `json:"detail"`
+	Location string      `json:"place,omitempty"`
 }
 
 // Sourced is a value with the line that gave it.
-type Sourced struct {
-	Value string `json:"value"`
-	Place string `json:"place,omitempty"`
+type LocatedValue struct {
+	Value    string `json:"value"`
+	Location string `json:"place,omitempty"`
 }
 
 // Route is what follows for the requests of one route.
 type Route struct {
-	Name     string  `json:"name"`
-	Place    string  `json:"place,omitempty"`
-	Prefix   string  `json:"prefix"`
-	Service  string  `json:"service"`
-	Class    Sourced `json:"class"`
-	Deadline Sourced `json:"deadline"`
-	Stall    Sourced `json:"stall"`
-	Runs     Sourced `json:"runs"`
-	Spill    Sourced `json:"spill"`
+	Name     string       `json:"name"`
+	Location string       `json:"place,omitempty"`
+	Prefix   string       `json:"prefix"`
+	Service  string       `json:"service"`
+	Class    LocatedValue `json:"class"`
+	Deadline LocatedValue `json:"deadline"`
+	Stall    LocatedValue `json:"stall"`
+	Runs     LocatedValue `json:"runs"`
+	Spill    LocatedValue `json:"spill"`
 	// Share, Limit and LongLimit are in slots, of one target and of all
 	// committed ones. LongLimit is empty for routes that are not long.
-	Share     Sourced `json:"share"`
-	Limit     Sourced `json:"limit"`
-	LongLimit Sourced `json:"long_limit"`
+	Share     LocatedValue `json:"share"`
+	Limit     LocatedValue `json:"limit"`
+	LongLimit LocatedValue `json:"long_limit"`
 	// Reach lists the failure domains in the order in which they are tried.
 	Reach      []Domain    `json:"reach"`
 	Conditions []Condition `json:"conditions"`
@@ -79,24 +79,24 @@
 	// is not known.
 	Distance string `json:"distance,omitempty"`
 	// InReach is false when the route's spill bars the domain.
-	InReach bool   `json:"in_reach"`
-	Place   string `json:"place,omitempty"`
+	InReach  bool   `json:"in_reach"`
+	Location string `json:"place,omitempty"`
 	// Live lists the targets that a node sees there; nil if none was asked.
 	Live []string `json:"live,omitempty"`
 }
 
 // Condition is a refusal that depends on the load or state of the moment.
 type Condition struct {
-	Reason port.Reason `json:"reason"`
-	When   string      `json:"when"`
-	Place  string      `json:"place,omitempty"`
+	Reason   port.Reason `json:"reason"`
+	When     string      `json:"when"`
+	Location string      `json:"place,omitempty"`
 }
 
 // Input is what an explanation is worked out from.
 type Input struct {
 	Set *contract.Set
 	// Places may be nil: published versions carry no files.
-	Places contract.Locations
+	Locations contract.Locations
 	// Members are what a node sees, or nil.
 	Members []membership.Record
 	// Regions gives the region of failure domains that are known.
@@ -117,11 +117,11 @@
 	e := &explainer{Input: input, query: query}
 	index := e.contractIndex()
 	if index < 0 {
-		return Explanation{Refused: &CertainReason{Reason: port.ReasonUnknownToken, Detail: e.unknownContract()}}
+		return Explanation{Refused: &Refusal{Reason: port.ReasonUnknownToken, Detail: e.unknownContract()}}
 	}
 	e.terms = &input.Set.Contracts[index]
 	e.place = e.contractPlace(index)
-	answer := Explanation{Customer: e.terms.Customer, Place: e.place("customer")}
+	answer := Explanation{Customer: e.terms.Customer, Location: e.place("customer")}
 	for i := range e.terms.Routes {
 		if e.wanted(&e.terms.Routes[i]) {
 			answer.Routes = append(answer.Routes, e.route(i))
@@ -156,18 +156,18 @@
 }
 
 func (e *explainer) contractPlace(index int) func(string) string {
-	if e.Places == nil {
+	if e.Locations == nil {
 		return func(string) string { return "" }
 	}
-	return placeText(e.Places.Contract(index))
+	return placeText(e.Locations.Contract(index))
 }
 
 func (e *explainer) servicePlace(name string) func(string) string {
 	index := slices.IndexFunc(e.Set.Services, func(s contract.Service) bool { return s.Name == name })
-	if e.Places == nil || index < 0 {
+	if e.Locations == nil || index < 0 {
 		return func(string) string { return "" }
 	}
-	return placeText(e.Places.Service(index))
+	return placeText(e.Locations.Service(index))
 }
 
 func placeText(place contract.Locator) func(string) string {
@@ -187,21 +187,21 @@
 }
 
 // refused finds the refusal that no change of load would lift.
-func (e *explainer) refused(routes []Route) *CertainReason {
+func (e *explainer) refused(routes []Route) *Refusal {
 	if e.query.Path == "" {
 		return nil
 	}
 	if len(routes) == 0 {
-		return &CertainReason{Reason: port.ReasonUnknownRoute, Place: e.place("customer"),
+		return &Refusal{Reason: port.ReasonUnknownRoute, Location: e.place("customer"),
 			Detail: fmt.Sprintf("contract %s has no route for %s", e.terms.Customer, e.query.Path)}
 	}
 	route := e.terms.Route(e.query.Path)
 	if !route.AcceptsMethod(e.query.Method) {
-		return &CertainReason{Reason: port.ReasonMethod, Place: routes[0].Place,
+		return &Refusal{Reason: port.ReasonMethod, Location: routes[0].Location,
 			Detail: fmt.Sprintf("route %s does not take %s", route.Name, e.query.Method)}
 	}
 	if !slices.ContainsFunc(routes[0].Reach, func(d Domain) bool { return d.InReach && d.usable(e.Members) }) {
-		return &CertainReason{Reason: port.ReasonNoTarget, Place: routes[0].Spill.Place,
+		return &Refusal{Reason: port.ReasonNoTarget, Location: routes[0].Spill.Location,
 			Detail: fmt.Sprintf("no target of service %s within reach", route.Service)}
 	}
 	return nil
@@ -221,12 +221,12 @@
 	key := func(field string) string { return e.place(fmt.Sprintf("route[%d].%s", index, field)) }
 	rank := e.terms.ClassRank(route.Class)
 	answer := Route{
-		Name: route.Name, Place: key("name"), Prefix: route.Prefix, Service: route.Service,
-		Class:    Sourced{fmt.Sprintf("%s, place %d of %d in the queue's order", route.Class, rank+1, len(e.terms.Classes)), key("class")},
-		Deadline: Sourced{route.Deadline.Std().String() + " to the first byte", key("deadline")},
-		Stall:    Sourced{route.StallTimeout.Std().String() + " between two bytes", key("stall")},
-		Runs:     Sourced{runs(route), key("idempotent")},
-		Spill:    Sourced{string(cmp.Or(route.Spill, contract.SpillAnywhere)), key("spill")},
+		Name: route.Name, Location: key("name"), Prefix: route.Prefix, Service: route.Service,
+		Class:    LocatedValue{fmt.Sprintf("%s, place %d of %d in the queue's order", route.Class, rank+1, len(e.terms.Classes)), key("class")},
+		Deadline: LocatedValue{route.Deadline.Std().String() + " to the first byte", key("deadline")},
+		Stall:    LocatedValue{route.StallTimeout.Std().String() + " between two bytes", key("stall")},
+		Runs:     LocatedValue{runs(route), key("idempotent")},
+		Spill:    LocatedValue{string(cmp.Or(route.Spill, contract.SpillAnywhere)), key("spill")},
 		Reach:    e.reach(route),
 	}
 	answer.Share, answer.Limit, answer.LongLimit = e.parts(route)
@@ -246,18 +246,18 @@
 }
 
 // parts renders the customer's share and limits of a service in slots.
-func (e *explainer) parts(route *contract.Route) (share, limit, longLimit Sourced) {
+func (e *explainer) parts(route *contract.Route) (share, limit, longLimit LocatedValue) {
 	grant, service := e.terms.Grant(route.Service), e.Set.Service(route.Service)
 	if grant == nil || service == nil {
-		none := Sourced{Value: "nothing is granted", Place: e.place("customer")}
+		none := LocatedValue{Value: "nothing is granted", Location: e.place("customer")}
 		return none, none, none
 	}
 	index := slices.IndexFunc(e.terms.Grants, func(g contract.Grant) bool { return g.Service == route.Service })
 	key := func(field string) string { return e.place(fmt.Sprintf("grant[%d].%s", index, field)) }
-	share = Sourced{guaranteed(grant.Share, service), key("share")}
-	limit = Sourced{atMost(grant.Limit, service), key("limit")}
+	share = LocatedValue{guaranteed(grant.Share, service), key("share")}
+	limit = LocatedValue{atMost(grant.Limit, service), key("limit")}
 	if route.Long {
-		longLimit = Sourced{atMost(cmp.Or(grant.LongLimit, grant.Limit), service), key("long_limit")}
+		longLimit = LocatedValue{atMost(cmp.Or(grant.LongLimit, grant.Limit), service), key("long_limit")}
 	}
 	return share, limit, longLimit
 }
@@ -291,7 +291,7 @@
 		domains = append(domains, Domain{
 			Name: name, Committed: service.Committed[name], Slots: service.Committed[name] * service.Slots,
 			Distance: distanceText(distance, known), InReach: !known || routing.Within(route.Spill, distance),
-			Place: place("committed." + name), Live: live[name],
+			Location: place("committed." + name), Live: live[name],
 		})
 	}
 	slices.SortStableFunc(domains, func(a, b Domain) int {
--- a/internal/explain/reason.go
+++ b/internal/explain/reason.go
@@ -9,9 +9,9 @@
 // Meaning is what a refusal's reason tells a caller and an operator.
 type Meaning struct {
 	// Why says what was the case.
-	Why string `json:"why"`
+	Cause string `json:"why"`
 	// Do says what helps.
-	Do string `json:"do"`
+	Remedy string `json:"do"`
 }
 
 // meanings has every reason of package port; a test checks that none is
@@ -62,9 +62,9 @@
 // conditions lists the refusals that depend on the load of the moment.
 func conditions(route Route) []Condition {
 	return []Condition{
-		{port.ReasonLimit, "the customer holds its limit at the target: " + route.Limit.Value, route.Limit.Place},
+		{port.ReasonLimit, "the customer holds its limit at the target: " + route.Limit.Value, route.Limit.Location},
 		{port.ReasonQueueFull, "all slots are in use and the customer's queue is full: requests.queue_per_slot (settings) for each slot that it is guaranteed", ""},
-		{port.ReasonDeadline, "no slot is free within " + route.Deadline.Value, route.Deadline.Place},
-		{port.ReasonNoTarget, "no target within spill \"" + route.Spill.Value + "\" is live", route.Spill.Place},
+		{port.ReasonDeadline, "no slot is free within " + route.Deadline.Value, route.Deadline.Location},
+		{port.ReasonNoTarget, "no target within spill \"" + route.Spill.Value + "\" is live", route.Spill.Location},
 	}
 }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -190,10 +190,10 @@
 	default:
 		return Failed, response.StatusCode, string(content)
 	}
-	proof := response.Header.Get(usertarget.HeaderProof)
+	proof := response.Header.Get(usertarget.HeaderSignature)
 	instance, _, _ := strings.Cut(proof, ".")
 	whole := bytes.Equal(content, usertarget.Body(id, size))
-	if !whole || proof != usertarget.Proof(instance, id) {
+	if !whole || proof != usertarget.Signature(instance, id) {
 		return Wrong, response.StatusCode, detail
 	}
 	return Answered, response.StatusCode, ""
--- a/internal/soak/cli/standins.go
+++ b/internal/soak/cli/standins.go
@@ -88,7 +88,7 @@
 	go func() { failed <- http.ListenAndServe(o.control, o.orders(t, born, stop)) }()
 	registered, end := context.WithCancel(context.Background())
 	defer end()
-	go o.registration.Keep(registered, born)
+	go o.registration.Run(registered, born)
 	select {
 	case err := <-failed:
 		return errors.Wrap(err, "target")
@@ -96,7 +96,7 @@
 	}
 	wait.Sleep(context.Background(), servesOn)
 	end()
-	return o.registration.Remove(context.Background())
+	return o.registration.Deregister(context.Background())
 }
 
 // crashStatus is the exit status of a target that a request crashes.
--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -28,7 +28,7 @@
 func (f *fleet) sendCrashing(ctx context.Context, fault Fault) {
 	ctx, stop := context.WithTimeout(ctx, fault.For)
 	defer stop()
-	name := fmt.Sprint(usertarget.CrashMark, fault.At.Milliseconds())
+	name := fmt.Sprint(usertarget.CrashMarker, fault.At.Milliseconds())
 	random := rand.New(rand.NewPCG(uint64(fault.At), 3))
 	var sending sync.WaitGroup
 	defer sending.Wait()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -134,7 +134,7 @@
 		Name: m.name, IP: m.private, Zone: m.zone, Region: zones[m.zone], Service: m.service,
 		Target: at(m.public, portTarget), Callers: at(m.private, portCallers), Ready: at(m.private, portReady),
 		PeerPort: portPeers, Store: at(storeHost, portStore), Zones: zones,
-		Bounds: userfiles.Bounds{Grace: grace, RepeatRatio: repeatRatio, RepeatFew: repeatFew},
+		Bounds: userfiles.Bounds{Grace: grace, RetryRatio: repeatRatio, RetrySlack: repeatFew},
 	}
 	settings, err := node.Settings()
 	if err != nil {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -31,10 +31,10 @@
 )
 
 // ill is how an ill target treats its requests: most of them well.
-var ill = usertarget.Mode{Lose: 0.1, Cut: 0.1, Shed: 0.2, Fail: 0.1}
+var ill = usertarget.Mode{LossRate: 0.1, CutRate: 0.1, ShedRate: 0.2, FailureRate: 0.1}
 
 // overloaded is how every target of a service behaves in IllService.
-var overloaded = usertarget.Mode{Shed: 0.9}
+var overloaded = usertarget.Mode{ShedRate: 0.9}
 
 // inject carries out a plan and returns when the last fault has ended.
 func (f *fleet) inject(ctx context.Context, plan []Fault) error {
@@ -76,7 +76,7 @@
 	case BusyStore:
 		return f.busyStore(ctx, fault.For)
 	case ForgetStore:
-		return f.admin(userstore.PathForget, nil, nil)
+		return f.admin(userstore.PathCompact, nil, nil)
 	case KillAll:
 		return f.killAll(ctx, fault.For)
 	case CrashRequest:
@@ -209,7 +209,7 @@
 func (f *fleet) illTarget(ctx context.Context, m *member, fault Fault) error {
 	mode := ill
 	if fault.Kind == SlowTarget {
-		mode = usertarget.Mode{Slower: slower}
+		mode = usertarget.Mode{Slowdown: slower}
 	}
 	if !m.replacing.TryLock() {
 		return nil
--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -23,8 +23,8 @@
 	CrossRegion int
 	// Control is the part of Bytes that carries versions, without membership.
 	// CrossControl is its part between regions.
-	Control      int
-	CrossControl int
+	Control            int
+	ControlCrossRegion int
 }
 
 // Network connects the peers of one test. It is safe for concurrent use.
@@ -67,28 +67,28 @@
 }
 
 // Cut sets which pairs of peers can't reach each other.
-func (n *Network) Cut(cut func(from, to membership.VM) bool) {
+func (n *Network) SetPartition(cut func(from, to membership.VM) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
 }
 
 // Lose sets which messages are lost on their way.
-func (n *Network) Lose(lose func(from, to membership.VM, message port.Message) bool) {
+func (n *Network) SetLoss(lose func(from, to membership.VM, message port.Message) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lose = lose
 }
 
 // Delay sets how long a message takes one way.
-func (n *Network) Delay(delay func(from, to membership.VM) time.Duration) {
+func (n *Network) SetDelay(delay func(from, to membership.VM) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
 // Traffic returns the counts so far and starts them anew.
-func (n *Network) Traffic() Traffic {
+func (n *Network) TakeTraffic() Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	traffic := n.traffic
@@ -97,7 +97,7 @@
 }
 
 // SentBy returns the bytes that each VM sent so far, by id.
-func (n *Network) SentBy() map[string]int {
+func (n *Network) BytesSent() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sent := make(map[string]int, len(n.sent))
@@ -173,7 +173,7 @@
 	}
 	n.traffic.Control += size
 	if crosses {
-		n.traffic.CrossControl += size
+		n.traffic.ControlCrossRegion += size
 	}
 }
 
--- a/standin/memnet/platform.go
+++ b/standin/memnet/platform.go
@@ -84,7 +84,7 @@
 
 // LosePart takes a part away, as an operator does who publishes the manifest
 // before its parts.
-func (p *Platform) LosePart(hash snapshot.Hash) {
+func (p *Platform) DeletePart(hash snapshot.Hash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.parts, hash)
@@ -111,7 +111,7 @@
 }
 
 // Cut sets which VMs can't reach the platform.
-func (p *Platform) Cut(cut func(vm membership.VM) bool) {
+func (p *Platform) SetPartition(cut func(vm membership.VM) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut = cut
@@ -119,7 +119,7 @@
 }
 
 // Delay sets how long a read takes there and back.
-func (p *Platform) Delay(delay func(vm membership.VM) time.Duration) {
+func (p *Platform) SetDelay(delay func(vm membership.VM) time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = delay
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -18,7 +18,7 @@
 )
 
 // ReadBudget is how many reads a second the platform gives all readers.
-const ReadBudget = 2000
+const MaxReadsPerSecond = 2000
 
 // watchWait is how long a watch waits for news.
 const watchWait = 20 * time.Second
@@ -34,16 +34,16 @@
 	// SlowMS delays each answer.
 	SlowMS int `json:"slow_ms"`
 	// CutShort ends each answer in the middle.
-	CutShort bool `json:"cut_short"`
+	Truncate bool `json:"cut_short"`
 	// ListLagMS delays each change of the VM list.
 	ListLagMS int `json:"list_lag_ms"`
 }
 
 // Stats counts what readers asked.
 type Stats struct {
-	Reads      uint64 `json:"reads"`
-	OverBudget uint64 `json:"over_budget"`
-	Bytes      uint64 `json:"bytes"`
+	Reads     uint64 `json:"reads"`
+	Throttled uint64 `json:"over_budget"`
+	Bytes     uint64 `json:"bytes"`
 }
 
 type value struct {
@@ -69,7 +69,7 @@
 // New returns an empty platform.
 func New() *Platform {
 	return &Platform{
-		budget:  rate.NewLimiter(ReadBudget, ReadBudget),
+		budget:  rate.NewLimiter(MaxReadsPerSecond, MaxReadsPerSecond),
 		values:  map[string]value{},
 		changed: make(chan struct{}),
 	}
@@ -131,7 +131,7 @@
 
 // Stats returns the counts so far.
 func (p *Platform) Stats() Stats {
-	return Stats{Reads: p.reads.Load(), OverBudget: p.over.Load(), Bytes: p.bytes.Load()}
+	return Stats{Reads: p.reads.Load(), Throttled: p.over.Load(), Bytes: p.bytes.Load()}
 }
 
 // Handler serves readers under /v1 and operators and tests under /admin.
@@ -215,7 +215,7 @@
 // send writes a value; with CutShort it ends the connection after half of it.
 func (p *Platform) send(c echo.Context, content []byte) error {
 	p.mu.Lock()
-	cut := p.mode.CutShort
+	cut := p.mode.Truncate
 	p.mu.Unlock()
 	p.bytes.Add(uint64(len(content)))
 	if !cut {
--- a/standin/usertarget/register.go
+++ b/standin/usertarget/register.go
@@ -53,7 +53,7 @@
 // Keep registers the target and renews its entry until ctx ends, also while it
 // drains. A store
 // that can't be reached is tried again; the lease says what that means.
-func (r *Registration) Keep(ctx context.Context, born time.Time) {
+func (r *Registration) Run(ctx context.Context, born time.Time) {
 	registered := false
 	for {
 		query := url.Values{"key": {Key(r.Instance)}, "ttl_ms": {fmt.Sprint((heartbeatsToLapse * r.Heartbeat).Milliseconds())}}
@@ -76,7 +76,7 @@
 }
 
 // Remove takes the entry out.
-func (r *Registration) Remove(ctx context.Context) error {
+func (r *Registration) Deregister(ctx context.Context) error {
 	return r.post(ctx, userstore.PathDelete, url.Values{"key": {Key(r.Instance)}}, nil)
 }
 
