--- a/internal/command/build/build.go
+++ b/internal/command/build/build.go
@@ -1,5 +1,5 @@
-// Package build is tamarackctl's subcommand that makes what an operator
-// publishes. It writes files and nothing shared.
+// Package build implements 'tamarackctl build', which creates the files that an
+// operator publishes. It writes local files only.
 package build
 
 import (
@@ -32,7 +32,7 @@
 		Use:   "build DIR --out DIR --by NAME",
 		Short: "Write the manifest and parts to publish",
 		Long: "Check the contracts of a directory and write what to publish: the parts and, last, the manifest.\n\n" +
-			"With --published, the command refuses to build a version that would drop a change which another operator " +
+			"With --published, the command refuses to build a version that would drop a change that another operator " +
 			"has published since --parent.",
 		Example: "  tamarackctl build contracts --out publish --by r.chen\n" +
 			"  tamarackctl build contracts --out publish-2 --parent publish --published http://10.0.0.5:7000 --by r.chen",
@@ -41,20 +41,20 @@
 	}
 	flags := c.Flags()
 	flags.StringVar(&o.out, "out", "", "directory to write to")
-	flags.StringVar(&o.parent, "parent", "", "what the contracts started from: a manifest, a directory that holds one, or the platform's URL; its revision is raised by one")
-	flags.StringVar(&o.published, "published", "", "what is published now: the platform's URL, or a directory")
-	flags.StringVar(&o.by, "by", "", "who publishes, for the audit trail")
-	flags.Uint64Var(&o.epoch, "epoch", 0, "raise the epoch after the platform was restored from an older copy")
-	flags.BoolVar(&o.force, "force", false, "build although another operator's change would be dropped")
+	flags.StringVar(&o.parent, "parent", "", "version that the contracts are based on: a manifest, a directory with one, or the platform's URL; the new revision is one higher")
+	flags.StringVar(&o.published, "published", "", "currently published version: the platform's URL, or a directory")
+	flags.StringVar(&o.by, "by", "", "name of the publisher, for the audit trail")
+	flags.Uint64Var(&o.epoch, "epoch", 0, "minimum epoch; raise it after the platform was restored from an older copy")
+	flags.BoolVar(&o.force, "force", false, "build even if another operator's change would be dropped")
 	command.AddFormat(c, &o.format)
 	for _, name := range []string{"out", "by"} {
-		// The flags exist: they were declared above.
+		// The error is impossible: the flags are declared above.
 		_ = c.MarkFlagRequired(name)
 	}
 	return c
 }
 
-// result is the output as JSON.
+// result is the JSON output.
 type result struct {
 	Version string        `json:"version"`
 	Root    snapshot.Hash `json:"root"`
@@ -102,8 +102,8 @@
 	fileMode = 0o644
 )
 
-// write lays the publication out as the platform's keys: part/HASH and
-// manifest, the manifest last.
+// write writes the publication to files named like the platform's keys, part/HASH
+// and manifest, with the manifest last.
 func write(dir string, publication *snapshot.Publication) error {
 	if err := os.MkdirAll(filepath.Join(dir, "part"), dirMode); err != nil {
 		return errors.Wrap(err, "--out")
--- a/internal/command/build/origin.go
+++ b/internal/command/build/origin.go
@@ -14,12 +14,12 @@
 	"tamarackquay/internal/snapshot"
 )
 
-// CodeLostUpdate says that building would drop what another operator has
-// published since.
+// CodeLostUpdate is the finding that the new version would drop a change that
+// another operator has published since.
 const CodeLostUpdate finding.Code = "another-update-published"
 
-// origin places the new version after its parent. Findings say why it must not
-// be built; notes say what the operator should know of it.
+// origin returns the origin of the new version, which follows its parent. Findings
+// are reasons not to build it; notes are information for the operator.
 func (o *options) origin(ctx context.Context, now time.Time) (origin snapshot.Origin, notes []string, found finding.List, err error) {
 	parent, err := o.readParent(ctx)
 	if err != nil {
@@ -32,26 +32,26 @@
 	origin = snapshot.Origin{Version: snapshot.Version{Epoch: 1, Revision: 1}, PublishedBy: o.by, PublishedAt: now.UTC()}
 	if parent != nil {
 		origin.Parent = parent.Root
-		origin.Version = after(parent.Version)
+		origin.Version = nextVersion(parent.Version)
 	}
 	switch {
 	case o.published == "" && parent != nil:
-		notes = append(notes, "not compared with what is published now; give --published to be told of another operator's change")
-	case lost(parent, current) && !o.force:
-		return origin, nil, finding.List{lostUpdate(o.published, parent, current)}, nil
-	case lost(parent, current):
-		notes = append(notes, "forced: "+lostUpdate(o.published, parent, current).Problem)
+		notes = append(notes, "not compared with the published version; use --published to detect changes of other operators")
+	case dropsUpdate(parent, current) && !o.force:
+		return origin, nil, finding.List{lostUpdateFinding(o.published, parent, current)}, nil
+	case dropsUpdate(parent, current):
+		notes = append(notes, "forced: "+lostUpdateFinding(o.published, parent, current).Problem)
 	}
-	// A forced version must still be above the published one, or no node would
-	// take it.
+	// A forced version must still be newer than the published one, or no node would
+	// apply it.
 	if current != nil && !origin.Version.NewerThan(current.Version) {
-		origin.Version = after(current.Version)
+		origin.Version = nextVersion(current.Version)
 	}
 	origin.Version.Epoch = max(origin.Version.Epoch, o.epoch)
 	return origin, notes, nil, nil
 }
 
-func after(version snapshot.Version) snapshot.Version {
+func nextVersion(version snapshot.Version) snapshot.Version {
 	return snapshot.Version{Epoch: version.Epoch, Revision: version.Revision + 1}
 }
 
@@ -63,7 +63,7 @@
 	return manifest, errors.Wrap(err, "--parent")
 }
 
-// readPublished returns nil when nothing is published yet.
+// readPublished returns nil if nothing is published yet.
 func (o *options) readPublished(ctx context.Context) (*snapshot.Manifest, error) {
 	if o.published == "" {
 		return nil, nil
@@ -75,25 +75,25 @@
 	return manifest, errors.Wrap(err, "--published")
 }
 
-// lost reports whether what is published now is not what the new version starts
-// from. Content alone is not enough: a change that was published and taken back
-// has the old root again, and its publisher should be asked.
-func lost(parent, current *snapshot.Manifest) bool {
+// dropsUpdate reports whether the published version differs from the one that the
+// new version is based on. Comparing the content is not enough: a change that was
+// published and reverted has the old root again, and its publisher should be asked.
+func dropsUpdate(parent, current *snapshot.Manifest) bool {
 	if current == nil {
 		return false
 	}
 	return parent == nil || parent.Root != current.Root || parent.Version != current.Version
 }
 
-func lostUpdate(place string, parent, current *snapshot.Manifest) finding.Finding {
-	from := "nothing"
+func lostUpdateFinding(file string, parent, current *snapshot.Manifest) finding.Finding {
+	base := "nothing"
 	if parent != nil {
-		from = "version " + parent.Version.String()
+		base = "version " + parent.Version.String()
 	}
 	return finding.Finding{
-		Code: CodeLostUpdate, File: place, Key: "manifest",
+		Code: CodeLostUpdate, File: file, Key: "manifest",
 		Problem: fmt.Sprintf("version %s by %s of %s is published, and this one starts from %s: it would drop their change",
-			current.Version, cmp.Or(current.PublishedBy, "someone"), current.PublishedAt.UTC().Format(time.RFC3339), from),
+			current.Version, cmp.Or(current.PublishedBy, "someone"), current.PublishedAt.UTC().Format(time.RFC3339), base),
 		Hint: "see 'tamarackctl diff', take their change over and build with --parent of what is published; --force drops it",
 	}
 }
--- a/internal/command/check/check.go
+++ b/internal/command/check/check.go
@@ -1,4 +1,4 @@
-// Package check is tamarackctl's subcommand that checks contracts.
+// Package check implements 'tamarackctl check', which validates contracts.
 package check
 
 import (
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command holds what tamarackctl's subcommands share; each subcommand
-// has a folder of its own.
+// Package command has the code that tamarackctl's subcommands share. Each
+// subcommand has its own package below this one.
 package command
 
 import (
@@ -25,10 +25,10 @@
 	ExitUsage    = 2
 )
 
-// ErrFindings ends a command whose findings have been printed.
+// ErrFindings is returned by a command that has printed findings.
 var ErrFindings = errors.New("findings")
 
-// ExitCode is the exit code that a command's error stands for.
+// ExitCode returns the exit code for a command's error.
 func ExitCode(err error) int {
 	switch {
 	case err == nil:
@@ -39,10 +39,10 @@
 	return ExitUsage
 }
 
-// Format is how a command prints its result.
+// Format is the output format of a command.
 type Format string
 
-// The formats.
+// Output formats.
 const (
 	FormatText Format = "text"
 	FormatJSON Format = "json"
@@ -56,8 +56,8 @@
 // Type implements pflag.Value.
 func (f *Format) Type() string { return "string" }
 
-// Set implements pflag.Value. It refuses formats that don't exist while the
-// command line is read, so that no command has to.
+// Set implements pflag.Value. It rejects unknown formats while the command line is
+// parsed, so that the commands need no check of their own.
 func (f *Format) Set(text string) error {
 	switch format := Format(text); format {
 	case FormatText, FormatJSON:
@@ -72,18 +72,18 @@
 	*format = FormatText
 	command.Flags().Var(format, "output", "text or json")
 	complete := cobra.FixedCompletions([]cobra.Completion{string(FormatText), string(FormatJSON)}, cobra.ShellCompDirectiveNoFileComp)
-	// The flag exists: it was declared above.
+	// The error is impossible: the flag is declared above.
 	_ = command.RegisterFlagCompletionFunc("output", complete)
 }
 
-// PrintJSON writes value indented.
+// PrintJSON writes value as indented JSON.
 func PrintJSON(w io.Writer, value any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// PrintFindings writes findings in the format and returns ErrFindings if there
+// PrintFindings prints the findings in the format. It returns ErrFindings if there
 // are any.
 func PrintFindings(w io.Writer, format Format, found finding.List) error {
 	if format == FormatJSON {
@@ -101,18 +101,18 @@
 	return nil
 }
 
-// ReadContracts reads and checks every .toml file of a directory, in the order
-// of their names.
+// ReadContracts reads and validates all .toml files of a directory, sorted by name.
 func ReadContracts(dir string) (*contract.Set, finding.List) {
 	set, _, found := ReadWithLocations(dir)
 	return set, found
 }
 
-// ReadLocated is ReadContracts with the place of each service and contract.
+// ReadWithLocations is like ReadContracts and also returns the file and line of
+// each service and contract.
 func ReadWithLocations(dir string) (*contract.Set, contract.Locations, finding.List) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err == nil && len(names) == 0 {
-		err = errors.New("no .toml file in it")
+		err = errors.New("the directory has no .toml file")
 	}
 	if err != nil {
 		return nil, nil, unreadable(dir, err)
@@ -128,8 +128,8 @@
 		}
 		sources = append(sources, contract.Source{Name: name, Text: text})
 	}
-	set, places, faults := contract.ParseWithLocations(sources)
-	return set, places, append(found, faults...)
+	set, locations, more := contract.ParseWithLocations(sources)
+	return set, locations, append(found, more...)
 }
 
 func unreadable(file string, err error) finding.List {
--- a/internal/command/diff/diff.go
+++ b/internal/command/diff/diff.go
@@ -1,4 +1,4 @@
-// Package diff is tamarackctl's subcommand that tells what changes for each
+// Package diff implements 'tamarackctl diff', which lists the changes for each
 // customer between two sets of contracts or published versions.
 package diff
 
@@ -32,7 +32,7 @@
 	return c
 }
 
-// report is the result as JSON.
+// report is the JSON output.
 type report struct {
 	Before  string           `json:"before"`
 	After   string           `json:"after"`
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// allCustomers heads the changes that concern a service as a whole.
+// allCustomers is the heading of changes that concern a service rather than one
+// customer.
 const allCustomers = "all customers"
 
 func printText(w io.Writer, r report) {
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain is tamarackctl's subcommand that tells which line of a
-// contract gave which limit, share and targets, and why a request would be
-// refused.
+// Package explain implements 'tamarackctl explain', which shows the line of a
+// contract that each limit, share and set of targets comes from, and why a request
+// would be refused.
 package explain
 
 import (
@@ -33,25 +33,25 @@
 	var o options
 	c := &cobra.Command{
 		Use:   "explain SOURCE (--customer NAME | --token TOKEN) [--path PATH]",
-		Short: "Tell which line gave which limit, share and targets, and why a request would be refused",
-		Long: "Tell what follows from a contract for a request, with the file and line of each value.\n\n" +
+		Short: "Show the source line of each limit, share and set of targets, and why a request would be refused",
+		Long: "Show how a contract applies to a request, with the file and line of each value.\n\n" +
 			"SOURCE is a directory of contracts, a directory that 'build' wrote, or the URL of the platform; " +
-			"only contracts carry lines. With --node, what that node sees is taken into account: its state and the live targets. " +
-			"With --reason alone, the reason of a refusal is explained.",
+			"only contracts have file and line. With --node, the state of that node and the live targets in its view are included. " +
+			"With --reason alone, the given reason of a refusal is explained.",
 		Example: "  tamarackctl explain examples/co-operative --customer fraser-valley --path /tallies/hwy1 --failure-domain interior-1\n" +
 			"  tamarackctl explain --reason queue-full",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return o.run(c, args) },
 	}
 	flags := c.Flags()
-	flags.StringVar(&o.query.Customer, "customer", "", "the customer whose contract is explained")
-	flags.StringVar(&o.query.Token, "token", "", "a caller token, in place of the customer")
-	flags.StringVar(&o.query.Path, "path", "", "the request's path; without it all routes are explained")
-	flags.StringVar(&o.query.Method, "method", http.MethodGet, "the request's method")
-	flags.StringVar(&o.query.FailureDomain, "failure-domain", "", "where the request enters")
-	flags.StringVar(&o.node, "node", "", "operators' address of a node to ask for its state and live targets")
+	flags.StringVar(&o.query.Customer, "customer", "", "customer whose contract is explained")
+	flags.StringVar(&o.query.Token, "token", "", "caller token, instead of the customer")
+	flags.StringVar(&o.query.Path, "path", "", "path of the request; without it all routes are explained")
+	flags.StringVar(&o.query.Method, "method", http.MethodGet, "method of the request")
+	flags.StringVar(&o.query.FailureDomain, "failure-domain", "", "failure domain where the request enters")
+	flags.StringVar(&o.node, "node", "", "operators' address of a node whose state and live targets are included")
 	flags.StringVar(&o.reason, "reason", "", "explain the reason of a refusal")
-	// The flag exists: it was declared above.
+	// The error is impossible: the flag is declared above.
 	_ = c.RegisterFlagCompletionFunc("reason", cobra.FixedCompletions(explain.Reasons(), cobra.ShellCompDirectiveNoFileComp))
 	command.AddFormat(c, &o.format)
 	return c
@@ -62,7 +62,7 @@
 		return o.explainReason(c)
 	}
 	if len(args) != 1 {
-		return errors.New("name the contracts: a directory, or the URL of the platform")
+		return errors.New("SOURCE is missing: name a directory, or the URL of the platform")
 	}
 	if (o.query.Customer == "") == (o.query.Token == "") {
 		return errors.New("give one of --customer and --token")
@@ -89,21 +89,20 @@
 	return err
 }
 
-// result is the explanation with what the node said.
+// result is the explanation with the state of the node, if one was requested.
 type result struct {
 	explain.Explanation
-	Node *nodeView `json:"node,omitempty"`
+	Node *nodeSummary `json:"node,omitempty"`
 }
 
-// nodeView is what matters of the asked node.
-type nodeView struct {
+// nodeSummary is the relevant part of the node's status.
+type nodeSummary struct {
 	ID      string      `json:"id"`
 	Health  node.Health `json:"health"`
 	Version string      `json:"version"`
-	// Differs says that the node has another version in force than the one
-	// explained.
+	// Differs is set if the applied version of the node is not the explained one.
 	Differs bool `json:"differs"`
-	// Running and Waiting are requests at the node's own target.
+	// Running and Waiting count requests at the local target of the node.
 	Running         int                 `json:"running"`
 	Waiting         int                 `json:"waiting"`
 	RefusedRequests map[port.Reason]int `json:"refused_requests,omitempty"`
@@ -114,43 +113,43 @@
 	if o.node == "" {
 		return result{Explanation: explain.Explain(input, o.query)}, nil
 	}
-	status, err := o.ask(ctx)
+	status, err := o.fetchStatus(ctx)
 	if err != nil {
 		return result{}, err
 	}
 	input.Members = status.Members
 	input.Regions = explain.RegionsOf(status.Members)
 	o.query.FailureDomain = cmp.Or(o.query.FailureDomain, status.VM.FailureDomain)
-	r := result{Explanation: explain.Explain(input, o.query), Node: viewOf(status, source)}
-	if refused := refusedByNode(status.Health); refused != nil {
+	r := result{Explanation: explain.Explain(input, o.query), Node: summarizeNode(status, source)}
+	if refused := nodeRefusal(status.Health); refused != nil {
 		r.Refused = refused
 	}
 	return r, nil
 }
 
-func (o *options) ask(ctx context.Context) (node.Status, error) {
+func (o *options) fetchStatus(ctx context.Context) (node.Status, error) {
 	addresses, err := nodes.Addresses([]string{o.node}, "")
 	if err != nil {
 		return node.Status{}, err
 	}
-	answer := nodes.Fetch[node.Status](ctx, addresses, operatorhttp.PathStatus)[0]
-	if answer.Problem != "" {
-		return node.Status{}, errors.Errorf("%s: %s", answer.Address, answer.Problem)
+	response := nodes.Fetch[node.Status](ctx, addresses, operatorhttp.PathStatus)[0]
+	if response.Problem != "" {
+		return node.Status{}, errors.Errorf("%s: %s", response.Address, response.Problem)
 	}
-	return answer.Value, nil
+	return response.Value, nil
 }
 
-func viewOf(status node.Status, source *published.Source) *nodeView {
-	return &nodeView{
+func summarizeNode(status node.Status, source *published.Source) *nodeSummary {
+	return &nodeSummary{
 		ID: status.VM.ID, Health: status.Health, Version: status.Applied.String(),
 		Differs: source.Manifest != nil && source.Manifest.Root != status.Root,
 		Running: status.Running, Waiting: status.Waiting, RefusedRequests: status.RefusedRequests,
 	}
 }
 
-// refusedByNode is the refusal that the node's own state brings, whatever the
-// request.
-func refusedByNode(health node.Health) *explain.Refusal {
+// nodeRefusal returns the refusal that applies to every request because of the
+// state of the node, or nil.
+func nodeRefusal(health node.Health) *explain.Refusal {
 	if health.Serving() {
 		return nil
 	}
--- a/internal/command/explain/print.go
+++ b/internal/command/explain/print.go
@@ -19,7 +19,7 @@
 func (o *options) explainReason(c *cobra.Command) error {
 	meaning, ok := explain.MeaningOf(port.Reason(o.reason))
 	if !ok {
-		return errors.Errorf("--reason %q: there is no such reason; the reasons are %s", o.reason, strings.Join(explain.Reasons(), ", "))
+		return errors.Errorf("--reason %q: unknown reason; known are %s", o.reason, strings.Join(explain.Reasons(), ", "))
 	}
 	if o.format == command.FormatJSON {
 		return command.PrintJSON(c.OutOrStdout(), meaning)
@@ -30,7 +30,7 @@
 
 func printText(w io.Writer, r result) {
 	if r.Customer != "" {
-		fmt.Fprintf(w, "contract of %s%s\n", r.Customer, at(r.Location))
+		fmt.Fprintf(w, "contract of %s%s\n", r.Customer, formatLocation(r.Location))
 	}
 	if r.Node != nil {
 		printNode(w, r.Node)
@@ -39,25 +39,25 @@
 		printRoute(w, route)
 	}
 	if r.Refused != nil {
-		fmt.Fprintf(w, "refused: %s: %s%s\n", r.Refused.Reason, r.Refused.Detail, at(r.Refused.Location))
+		fmt.Fprintf(w, "refused: %s: %s%s\n", r.Refused.Reason, r.Refused.Detail, formatLocation(r.Refused.Location))
 		if meaning, ok := explain.MeaningOf(r.Refused.Reason); ok {
 			fmt.Fprintf(w, "  what helps: %s\n", meaning.Remedy)
 		}
 	}
 }
 
-func at(place string) string {
+func formatLocation(place string) string {
 	if place == "" {
 		return ""
 	}
 	return "  (" + place + ")"
 }
 
-func printNode(w io.Writer, n *nodeView) {
+func printNode(w io.Writer, n *nodeSummary) {
 	fmt.Fprintf(w, "node %s: %s since %s, version %s, %d running and %d waiting at its target\n",
 		n.ID, n.Health.State, n.Health.Since.UTC().Format(time.RFC3339), n.Version, n.Running, n.Waiting)
 	if n.Differs {
-		fmt.Fprintln(w, "  the node has another version in force than the one explained here")
+		fmt.Fprintln(w, "  the version in force on the node is not the one explained here")
 	}
 	for _, reason := range n.Health.Reasons {
 		fmt.Fprintf(w, "  %s\n", reason)
@@ -68,7 +68,7 @@
 }
 
 func printRoute(w io.Writer, route explain.Route) {
-	fmt.Fprintf(w, "route %s: %s to service %s%s\n", route.Name, route.Prefix, route.Service, at(route.Location))
+	fmt.Fprintf(w, "route %s: %s to service %s%s\n", route.Name, route.Prefix, route.Service, formatLocation(route.Location))
 	for _, line := range []struct {
 		name  string
 		value explain.LocatedValue
@@ -77,7 +77,7 @@
 		{"stall", route.Stall}, {"runs", route.Runs}, {"spill", route.Spill},
 	} {
 		if line.value.Value != "" {
-			fmt.Fprintf(w, "  %-9s %s%s\n", line.name, line.value.Value, at(line.value.Location))
+			fmt.Fprintf(w, "  %-9s %s%s\n", line.name, line.value.Value, formatLocation(line.value.Location))
 		}
 	}
 	fmt.Fprintln(w, "  targets, in the order in which they are tried:")
@@ -86,7 +86,7 @@
 	}
 	fmt.Fprintln(w, "  would be refused when:")
 	for _, condition := range route.Conditions {
-		fmt.Fprintf(w, "    %-12s %s%s\n", condition.Reason, condition.When, at(condition.Location))
+		fmt.Fprintf(w, "    %-12s %s%s\n", condition.Reason, condition.When, formatLocation(condition.Location))
 	}
 }
 
@@ -101,5 +101,5 @@
 	if !domain.InReach {
 		text += ", out of the route's reach"
 	}
-	fmt.Fprintf(w, "    %-18s %s%s\n", domain.Name, text, at(domain.Location))
+	fmt.Fprintf(w, "    %-18s %s%s\n", domain.Name, text, formatLocation(domain.Location))
 }
--- a/internal/command/peercert/peercert.go
+++ b/internal/command/peercert/peercert.go
@@ -1,5 +1,5 @@
-// Package peercert is tamarackctl's subcommand that makes the certificates by
-// which nodes prove themselves to each other.
+// Package peercert implements 'tamarackctl peer-cert', which issues the
+// certificates by which nodes authenticate each other.
 package peercert
 
 import (
@@ -32,7 +32,7 @@
 	var o options
 	c := &cobra.Command{
 		Use:   "peer-cert NAME --out DIR [--authority DIR]",
-		Short: "Make an authority for peers, or a peer certificate signed by one",
+		Short: "Create an authority for peers, or a peer certificate signed by one",
 		Example: "  tamarackctl peer-cert authority --out keys/authority\n" +
 			"  tamarackctl peer-cert vm-17 --out keys/vm-17 --authority keys/authority",
 		Args: cobra.ExactArgs(1),
@@ -41,7 +41,7 @@
 			if err != nil {
 				return err
 			}
-			if err := write(o.out, pair); err != nil {
+			if err := writePair(o.out, pair); err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "wrote cert.pem and key.pem to %s\n", o.out)
@@ -49,9 +49,9 @@
 		},
 	}
 	c.Flags().StringVar(&o.out, "out", "", "directory to write cert.pem and key.pem to")
-	c.Flags().StringVar(&o.authority, "authority", "", "directory of the signing authority; without it a new authority is made")
-	c.Flags().DurationVar(&o.life, "life", defaultLife, "how long the certificate is good")
-	// The flag exists: it was declared above.
+	c.Flags().StringVar(&o.authority, "authority", "", "directory of the signing authority; without it a new authority is created")
+	c.Flags().DurationVar(&o.life, "life", defaultLife, "validity period of the certificate")
+	// The error is impossible: the flag is declared above.
 	_ = c.MarkFlagRequired("out")
 	return c
 }
@@ -71,7 +71,7 @@
 	return peertls.IssuePeer(&peertls.Pair{Certificate: certificate, Key: key}, name, now, o.life)
 }
 
-func write(dir string, pair *peertls.Pair) error {
+func writePair(dir string, pair *peertls.Pair) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return errors.Wrap(err, "out")
 	}
--- a/internal/command/published/published.go
+++ b/internal/command/published/published.go
@@ -1,6 +1,6 @@
-// Package published reads versions that an operator published or is about to:
-// from a directory that 'tamarackctl build' wrote, or from the platform's
-// configuration service. It only reads.
+// Package published reads versions of the configuration, published or still to be
+// published: from a directory written by 'tamarackctl build', or from the
+// platform's configuration service. It never writes.
 package published
 
 import (
@@ -22,23 +22,24 @@
 
 const (
 	readTimeout = 5 * time.Second
-	// manifestFile and partDir are the platform's keys, as a directory.
+	// manifestFile and partDir are the names in a directory; they correspond to
+	// the platform's keys.
 	manifestFile = "manifest"
 	partDir      = "part"
 )
 
-// Source is a contract set with what is known of its origin.
+// Source is a contract set and its origin.
 type Source struct {
-	// Name is the directory or URL as the operator wrote it.
+	// Name is the directory or URL as given on the command line.
 	Name string
 	Set  *contract.Set
-	// Places is nil for published versions, which carry no files.
+	// Locations is nil for published versions, which have no source files.
 	Locations contract.Locations
 	// Manifest is nil for directories of contracts.
 	Manifest *snapshot.Manifest
 }
 
-// Describe names the source on one line.
+// Describe returns a one-line description of the source.
 func (s *Source) Describe() string {
 	if s.Manifest == nil {
 		return s.Name + " (contracts)"
@@ -46,13 +47,13 @@
 	return s.Name + " (version " + s.Manifest.Version.String() + ", published by " + s.Manifest.PublishedBy + ")"
 }
 
-// Load reads a directory of contracts, a directory that build wrote, or the
-// platform at an http:// URL. Findings say why the set is not good; an error
-// says why it can't be read.
+// Load reads a directory of contracts, a directory written by build, or the
+// platform at an http:// URL. It returns findings if the set is invalid, and an
+// error if it can't be read.
 func Load(ctx context.Context, name string) (*Source, finding.List, error) {
-	if !isURL(name) && !holdsManifest(name) {
-		set, places, found := command.ReadWithLocations(name)
-		return &Source{Name: name, Set: set, Locations: places}, found, nil
+	if !isURL(name) && !hasManifest(name) {
+		set, locations, found := command.ReadWithLocations(name)
+		return &Source{Name: name, Set: set, Locations: locations}, found, nil
 	}
 	store := open(name)
 	manifest, err := store.manifest(ctx)
@@ -78,18 +79,18 @@
 	return strings.HasPrefix(name, "http://") || strings.HasPrefix(name, "https://")
 }
 
-func holdsManifest(dir string) bool {
+func hasManifest(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, manifestFile))
 	return err == nil
 }
 
-// store gives the values of one place.
-type store interface {
+// source reads the manifest and parts of one version.
+type source interface {
 	manifest(ctx context.Context) (*snapshot.Manifest, error)
 	part(ctx context.Context, hash snapshot.Hash) ([]byte, error)
 }
 
-func open(name string) store {
+func open(name string) source {
 	if isURL(name) {
 		return platformStore{platformhttp.New(strings.TrimSuffix(name, "/"), readTimeout, readTimeout)}
 	}
@@ -111,7 +112,7 @@
 	return s.client.Part(ctx, hash)
 }
 
-// directory reads what build wrote; the name may also be that of the manifest
+// directory reads a directory written by build; it may also name the manifest file
 // itself.
 type directory string
 
@@ -134,17 +135,17 @@
 	return os.ReadFile(filepath.Join(string(d), partDir, hash.String()))
 }
 
-// assemble reads all parts that the manifest names and checks the version as a
-// node would.
-func assemble(ctx context.Context, from store, manifest *snapshot.Manifest) (*snapshot.Snapshot, finding.List, error) {
-	read := snapshot.Parts{}
+// assemble reads all parts listed in the manifest and validates the version in the
+// same way as a node.
+func assemble(ctx context.Context, from source, manifest *snapshot.Manifest) (*snapshot.Snapshot, finding.List, error) {
+	available := snapshot.Parts{}
 	for {
-		held, missing, err := snapshot.Select(manifest, read)
+		selected, missing, err := snapshot.Select(manifest, available)
 		if err != nil {
 			return nil, nil, err
 		}
 		if len(missing) == 0 {
-			version, found := snapshot.Assemble(manifest, held)
+			version, found := snapshot.Assemble(manifest, selected)
 			return version, found, nil
 		}
 		for _, hash := range missing {
@@ -152,7 +153,7 @@
 			if err != nil {
 				return nil, nil, errors.Wrapf(err, "part %s", hash.Short())
 			}
-			read[hash] = raw
+			available[hash] = raw
 		}
 	}
 }
--- a/internal/command/root/root.go
+++ b/internal/command/root/root.go
@@ -1,4 +1,4 @@
-// Package root puts tamarackctl's subcommands together.
+// Package root assembles tamarackctl from its subcommands.
 package root
 
 import (
@@ -15,14 +15,14 @@
 	"tamarackquay/internal/command/trace"
 )
 
-// New returns the whole command line.
+// New returns the tamarackctl command with all subcommands.
 func New() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "tamarackctl",
 		Short: "Check, build and follow the contracts of a service mesh",
 		Long: "Check, build and follow the contracts of a service mesh.\n\n" +
-			"The command reads files, nodes and the platform; it writes nothing shared. Publishing is the operator's step.\n" +
-			"Exit codes: 0 fine, 1 findings, 2 wrong usage or an input that can't be read.",
+			"The command reads files, nodes and the platform, and writes local files only. Publishing is left to the operator.\n" +
+			"Exit codes: 0 success, 1 findings, 2 wrong usage or unreadable input.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/internal/command/status/print.go
+++ b/internal/command/status/print.go
@@ -24,22 +24,22 @@
 			age(line.AgeSeconds), fmt.Sprint(s.Running), fmt.Sprint(s.Waiting), fmt.Sprint(s.MemberCount))
 		line.printDetails(w)
 	}
-	answering, lagging := 0, 0
+	reachable, lagging := 0, 0
 	for _, line := range r.Nodes {
 		if line.Problem == "" {
-			answering++
+			reachable++
 		}
 		if line.Lags {
 			lagging++
 		}
 	}
-	fmt.Fprintf(w, "newest version %s; %d of %d nodes answer, %d lag\n", r.Newest, answering, len(r.Nodes), lagging)
+	fmt.Fprintf(w, "newest version %s; %d of %d nodes answer, %d lag\n", r.Newest, reachable, len(r.Nodes), lagging)
 	if r.Waited != nil {
 		fmt.Fprintln(w, r.Waited)
 	}
 }
 
-func (l nodeLine) printDetails(w io.Writer) {
+func (l nodeReport) printDetails(w io.Writer) {
 	s := l.Value
 	if l.Lags {
 		fmt.Fprintln(w, "  lags: another node has a newer version, or other content under this number")
@@ -54,7 +54,7 @@
 		fmt.Fprintf(w, "  no contact with failure domains: %s\n", strings.Join(s.Unreachable, " "))
 	}
 	if s.Isolated {
-		fmt.Fprintln(w, "  hears no peer at all")
+		fmt.Fprintln(w, "  no contact with any peer")
 	}
 	for _, trouble := range s.Troubles {
 		fmt.Fprintf(w, "  %s: %s from %s at %s\n", trouble.Kind, trouble.Subject(), trouble.From, trouble.Time.UTC().Format(time.RFC3339))
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -1,4 +1,4 @@
-// Package status is tamarackctl's subcommand that asks nodes how they are.
+// Package status implements 'tamarackctl status', which shows the state of nodes.
 package status
 
 import (
@@ -20,9 +20,9 @@
 	var o options
 	c := &cobra.Command{
 		Use:   "status ADDRESS...",
-		Short: "Show versions and their age across nodes, who lags, and what was refused and why",
+		Short: "Show versions and their age across nodes, lagging nodes, and refused versions and requests",
 		Long: "Show the state, the version in force and its age of each named node, which nodes lag behind the " +
-			"newest version, and what was refused and why.\n\nA node that can't be reached is a line of the output. " +
+			"newest version, and the refused versions and requests with the reasons.\n\nA node that can't be reached is shown as a line of the output. " +
 			"The exit code is 1 if a node can't be reached, lags, is in another state than ready, or has lost contact with a failure domain.",
 		Example: "  tamarackctl status 127.0.0.1:8302 127.0.0.1:8312\n" +
 			"  tamarackctl status --nodes nodes.txt --wait 1.7 --timeout 15s",
@@ -36,7 +36,8 @@
 	return c
 }
 
-// defaultTimeout is twice the time within which a change is to be in force.
+// defaultTimeout is twice the time within which a change must be applied on every
+// node.
 const defaultTimeout = 30 * time.Second
 
 type options struct {
@@ -67,52 +68,52 @@
 }
 
 func (o *options) report(ctx context.Context, addresses []string) (report, error) {
-	ask := func() []nodes.Response[node.Status] {
+	fetch := func() []nodes.Response[node.Status] {
 		return nodes.Fetch[node.Status](ctx, addresses, operatorhttp.PathBriefStatus)
 	}
 	if o.wait == "" {
-		return newReport(ask(), time.Now()), nil
+		return newReport(fetch(), time.Now()), nil
 	}
 	version, err := snapshot.ParseVersion(o.wait)
 	if err != nil {
 		return report{}, errors.Wrap(err, "--wait")
 	}
-	return waitFor(ctx, version, o.timeout, ask), nil
+	return waitFor(ctx, version, o.timeout, fetch), nil
 }
 
-// report is what all nodes together say.
+// report is the JSON output: the responses of all nodes.
 type report struct {
-	// Newest is the highest version that any node has in force.
+	// Newest is the newest version applied on any node.
 	Newest snapshot.Version `json:"newest"`
-	Nodes  []nodeLine       `json:"nodes"`
-	// Findings counts what an operator should look at.
+	Nodes  []nodeReport     `json:"nodes"`
+	// Findings is the number of problems that need an operator's attention.
 	Findings int `json:"findings"`
 	// Waited is set when the command waited for a version.
-	Waited *waited `json:"waited,omitempty"`
+	Waited *waitResult `json:"waited,omitempty"`
 }
 
-// nodeLine is one node's part.
-type nodeLine struct {
+// nodeReport is the part of one node.
+type nodeReport struct {
 	nodes.Response[node.Status]
-	// Lags says that another node has a newer version, or other content under
-	// the same number.
+	// Lags is set if another node has a newer version, or other content under the
+	// same number.
 	Lags bool `json:"lags"`
-	// AgeSeconds is the time since the version in force was published.
+	// AgeSeconds is the time since the applied version was published.
 	AgeSeconds float64 `json:"age_seconds"`
 	Problems   int     `json:"problems"`
 }
 
-func newReport(answers []nodes.Response[node.Status], now time.Time) report {
+func newReport(responses []nodes.Response[node.Status], now time.Time) report {
 	var r report
-	var root snapshot.Hash
-	for _, answer := range answers {
-		if applied := answer.Value.Applied; applied.NewerThan(r.Newest) {
-			r.Newest, root = applied, answer.Value.Root
+	var newestRoot snapshot.Hash
+	for _, response := range responses {
+		if applied := response.Value.Applied; applied.NewerThan(r.Newest) {
+			r.Newest, newestRoot = applied, response.Value.Root
 		}
 	}
-	for _, answer := range answers {
-		line := newLine(answer, now)
-		if answer.Problem == "" && (r.Newest.NewerThan(answer.Value.Applied) || answer.Value.Root != root) {
+	for _, response := range responses {
+		line := newNodeReport(response, now)
+		if response.Problem == "" && (r.Newest.NewerThan(response.Value.Applied) || response.Value.Root != newestRoot) {
 			line.Lags = true
 			line.Problems++
 		}
@@ -122,13 +123,13 @@
 	return r
 }
 
-func newLine(answer nodes.Response[node.Status], now time.Time) nodeLine {
-	line := nodeLine{Response: answer}
-	if answer.Problem != "" {
+func newNodeReport(response nodes.Response[node.Status], now time.Time) nodeReport {
+	line := nodeReport{Response: response}
+	if response.Problem != "" {
 		line.Problems++
 		return line
 	}
-	status := answer.Value
+	status := response.Value
 	if !status.PublishedAt.IsZero() {
 		line.AgeSeconds = now.Sub(status.PublishedAt).Seconds()
 	}
--- a/internal/command/token/token.go
+++ b/internal/command/token/token.go
@@ -1,4 +1,4 @@
-// Package token is tamarackctl's subcommand that makes caller tokens.
+// Package token implements 'tamarackctl token', which generates caller tokens.
 package token
 
 import (
@@ -14,7 +14,7 @@
 func New() *cobra.Command {
 	return &cobra.Command{
 		Use:     "token [TOKEN]",
-		Short:   "Make a caller token, or hash a given one, for token_hashes",
+		Short:   "Generate a caller token, or hash a given one, for token_hashes",
 		Example: "  tamarackctl token",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/internal/command/trace/trace.go
+++ b/internal/command/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace is tamarackctl's subcommand that puts together what the nodes'
-// logs say of one request.
+// Package trace implements 'tamarackctl trace', which collects the log lines of all
+// nodes about one request.
 package trace
 
 import (
@@ -26,9 +26,9 @@
 	var o options
 	c := &cobra.Command{
 		Use:   "trace REQUEST-ID [FILE...]",
-		Short: "Show what the nodes decided on a request, in order, and on which belief",
-		Long: "Show every log line of a request across nodes, in order of time, and what each node believed when it decided.\n\n" +
-			"The lines come from the named files, or from standard input. Text before the JSON object of a line is left out.\n" +
+		Short: "Show the nodes' decisions on a request, in order, and the state that each was based on",
+		Long: "Show every log line of a request across nodes, in order of time, with the load and the age of the view that each decision was based on.\n\n" +
+			"The lines come from the named files, or from standard input. Text before the JSON object of a line is skipped.\n" +
 			"The exit code is 1 if no line names the request.",
 		Example: "  tamarackctl trace 9c41d07be2a35f68 node-*.log\n" +
 			"  collector query 'request=9c41d07be2a35f68' | tamarackctl trace 9c41d07be2a35f68 --output json",
@@ -42,7 +42,7 @@
 type options struct{ format command.Format }
 
 func (o *options) run(c *cobra.Command, id string, files []string) error {
-	lines, err := readAll(id, files, c.InOrStdin())
+	lines, err := readLines(id, files, c.InOrStdin())
 	if err != nil {
 		return err
 	}
@@ -65,10 +65,10 @@
 	Fields  map[string]any `json:"fields"`
 }
 
-func readAll(id string, files []string, stdin io.Reader) ([]Line, error) {
+func readLines(id string, files []string, stdin io.Reader) ([]Line, error) {
 	lines := []Line{}
 	if len(files) == 0 {
-		found, err := read(id, stdin)
+		found, err := scanLines(id, stdin)
 		lines = append(lines, found...)
 		if err != nil {
 			return nil, errors.Wrap(err, "standard input")
@@ -79,8 +79,8 @@
 		if err != nil {
 			return nil, err
 		}
-		found, err := read(id, file)
-		// It was only read.
+		found, err := scanLines(id, file)
+		// An error on closing a file that was only read has no effect.
 		_ = file.Close()
 		if err != nil {
 			return nil, errors.Wrap(err, name)
@@ -91,24 +91,24 @@
 	return lines, nil
 }
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-func read(id string, from io.Reader) ([]Line, error) {
+func scanLines(id string, from io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		if line, ok := parse(id, scanner.Bytes()); ok {
+		if line, ok := parseLine(id, scanner.Bytes()); ok {
 			lines = append(lines, line)
 		}
 	}
 	return lines, scanner.Err()
 }
 
-// parse reads a line if it names the request. Lines of other programs, cut ones
-// and text before the object don't stop the trace.
-func parse(id string, text []byte) (Line, bool) {
+// parseLine parses a log line of the request. It skips lines of other programs and
+// truncated lines, and ignores text before the JSON object.
+func parseLine(id string, text []byte) (Line, bool) {
 	if !bytes.Contains(text, []byte(id)) {
 		return Line{}, false
 	}
@@ -123,18 +123,17 @@
 	line := Line{Fields: fields}
 	line.Node, _ = fields["node"].(string)
 	line.Message, _ = fields["message"].(string)
-	written, _ := fields["time"].(string)
-	// A line without a readable time is shown first.
-	line.Time, _ = time.Parse(time.RFC3339Nano, written)
+	timestamp, _ := fields["time"].(string)
+	// A line without a valid time is shown first.
+	line.Time, _ = time.Parse(time.RFC3339Nano, timestamp)
 	for _, name := range []string{"node", "message", "time", "level", logfield.Request} {
 		delete(fields, name)
 	}
 	return line, true
 }
 
-// first are the fields that are shown first, in this order; the others follow by
-// name.
-var first = []string{
+// leadingFields are shown first, in this order. The others follow, sorted by name.
+var leadingFields = []string{
 	logfield.Outcome, logfield.Reason, logfield.Status, logfield.Target, logfield.ReportedLoad, logfield.ReportedLoadAge,
 	logfield.Elapsed, logfield.TimeLeft, logfield.RetryAfter,
 }
@@ -142,21 +141,21 @@
 func printText(w io.Writer, lines []Line) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, line := range lines {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", line.Time.Format("15:04:05.000"), line.Node, line.Message, render(line.Fields))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", line.Time.Format("15:04:05.000"), line.Node, line.Message, formatFields(line.Fields))
 	}
 	return table.Flush()
 }
 
-func render(fields map[string]any) string {
+func formatFields(fields map[string]any) string {
 	var names []string
-	for _, name := range first {
+	for _, name := range leadingFields {
 		if _, ok := fields[name]; ok {
 			names = append(names, name)
 		}
 	}
 	var others []string
 	for name := range fields {
-		if !slices.Contains(first, name) {
+		if !slices.Contains(leadingFields, name) {
 			others = append(others, name)
 		}
 	}
