--- a/internal/command/explain/print.go
+++ b/internal/command/explain/print.go
@@ -19,7 +19,7 @@
 func (o *options) explainReason(c *cobra.Command) error {
 	meaning, ok := explain.MeaningOf(port.Reason(o.reason))
 	if !ok {
-		return errors.Errorf("--reason %q: unknown reason; known are %s", o.reason, strings.Join(explain.Reasons(), ", "))
+		return errors.Errorf("--reason %q: unknown reason; the reasons are %s", o.reason, strings.Join(explain.Reasons(), ", "))
 	}
 	if o.format == command.FormatJSON {
 		return command.PrintJSON(c.OutOrStdout(), meaning)
@@ -46,11 +46,11 @@
 	}
 }
 
-func formatLocation(place string) string {
-	if place == "" {
+func formatLocation(location string) string {
+	if location == "" {
 		return ""
 	}
-	return "  (" + place + ")"
+	return "  (" + location + ")"
 }
 
 func printNode(w io.Writer, n *nodeSummary) {
--- a/internal/command/published/published.go
+++ b/internal/command/published/published.go
@@ -55,12 +55,12 @@
 		set, locations, found := command.ReadWithLocations(name)
 		return &Source{Name: name, Set: set, Locations: locations}, found, nil
 	}
-	store := open(name)
-	manifest, err := store.manifest(ctx)
+	reader := open(name)
+	manifest, err := reader.manifest(ctx)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, name)
 	}
-	version, found, err := assemble(ctx, store, manifest)
+	version, found, err := assemble(ctx, reader, manifest)
 	if err != nil || len(found) > 0 {
 		return nil, found, errors.Wrap(err, name)
 	}
@@ -84,13 +84,13 @@
 	return err == nil
 }
 
-// source reads the manifest and parts of one version.
-type source interface {
+// versionReader reads the manifest and parts of one version.
+type versionReader interface {
 	manifest(ctx context.Context) (*snapshot.Manifest, error)
 	part(ctx context.Context, hash snapshot.Hash) ([]byte, error)
 }
 
-func open(name string) source {
+func open(name string) versionReader {
 	if isURL(name) {
 		return platformStore{platformhttp.New(strings.TrimSuffix(name, "/"), readTimeout, readTimeout)}
 	}
@@ -137,7 +137,7 @@
 
 // assemble reads all parts listed in the manifest and validates the version in the
 // same way as a node.
-func assemble(ctx context.Context, from source, manifest *snapshot.Manifest) (*snapshot.Snapshot, finding.List, error) {
+func assemble(ctx context.Context, from versionReader, manifest *snapshot.Manifest) (*snapshot.Snapshot, finding.List, error) {
 	available := snapshot.Parts{}
 	for {
 		selected, missing, err := snapshot.Select(manifest, available)
--- a/internal/command/status/print.go
+++ b/internal/command/status/print.go
@@ -56,9 +56,9 @@
 	if s.Isolated {
 		fmt.Fprintln(w, "  no contact with any peer")
 	}
-	for _, trouble := range s.VersionProblems {
-		fmt.Fprintf(w, "  %s: %s from %s at %s\n", trouble.Kind, trouble.Subject(), trouble.From, trouble.Time.UTC().Format(time.RFC3339))
-		for _, f := range trouble.Findings {
+	for _, problem := range s.VersionProblems {
+		fmt.Fprintf(w, "  %s: %s from %s at %s\n", problem.Kind, problem.Subject(), problem.From, problem.Time.UTC().Format(time.RFC3339))
+		for _, f := range problem.Findings {
 			fmt.Fprintf(w, "    %s\n", f)
 		}
 	}
--- a/internal/command/trace/trace.go
+++ b/internal/command/trace/trace.go
@@ -27,7 +27,7 @@
 	c := &cobra.Command{
 		Use:   "trace REQUEST-ID [FILE...]",
 		Short: "Show the nodes' decisions on a request, in order, and the state that each was based on",
-		Long: "Show every log line of a request across nodes, in order of time, with the load and the age of the view that each decision was based on.\n\n" +
+		Long: "Show every log line of a request across nodes, in order of time, with the load report that each decision was based on, and its age.\n\n" +
 			"The lines come from the named files, or from standard input. Text before the JSON object of a line is skipped.\n" +
 			"The exit code is 1 if no line names the request.",
 		Example: "  tamarackctl trace 9c41d07be2a35f68 node-*.log\n" +
